--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 READY := $(VENV)/.ready
 SOURCES := packages platform testing examples benchmarks
 
-.PHONY: demo test lint format fuzz soak evacuation-times wakeups bench slopes docs-check plots clean
+.PHONY: demo test lint format fuzz soak evacuation-times two-builds wakeups bench slopes docs-check plots clean
 
 $(READY): constraints.txt $(wildcard packages/*/pyproject.toml)
 	$(PYTHON) -m venv $(VENV)
@@ -64,6 +64,10 @@
 	PYTHONPATH=testing:testing/council:testing/soak:platform $(BIN)/python testing/soak/soak.py \
 		--seeds $(SEEDS) --seconds $(SECONDS) --at-once $(AT_ONCE) $(ARGS)
 
+# Processes of this checkout beside those of another, OLD: what one writes, the other must read.
+two-builds: $(READY)
+	PYTHONPATH=testing:testing/council:testing/soak:platform $(BIN)/python testing/soak/twobuilds.py $(OLD)
+
 # How often the programs wake up without work.
 wakeups: $(READY)
 	PYTHONPATH=testing:testing/council:testing/soak:platform $(BIN)/python testing/soak/wakeups.py
--- a/testing/soak/deployment.py
+++ b/testing/soak/deployment.py
@@ -28,7 +28,14 @@
 from soakstore import SoakStore
 
 ROOT = Path(__file__).parents[2]
-SOURCES = [ROOT / "platform", *sorted(ROOT.glob("packages/*/src"))]
+
+
+def sources(checkout: Path) -> list[Path]:
+    """Return the folders from which the programs of a checkout are imported."""
+    return [checkout / "platform", *sorted(checkout.glob("packages/*/src"))]
+
+
+SOURCES = sources(ROOT)
 """Where the programs are taken from: this checkout, whatever is installed."""
 
 
@@ -75,6 +82,8 @@
     """How many faults wait for its end, and start it again."""
     on_start: Callable[[], None] = field(default=lambda: None)
     """Called at each start."""
+    sources: list[Path] = field(default_factory=lambda: SOURCES)
+    """Folders from which its program is imported."""
 
     @property
     def up(self) -> bool:
@@ -84,7 +93,7 @@
     def start(self) -> None:
         """Start the program."""
         variables = {**os.environ, SETTINGS_VARIABLE: str(self.settings)}
-        variables["PYTHONPATH"] = os.pathsep.join(map(str, SOURCES))
+        variables["PYTHONPATH"] = os.pathsep.join(map(str, self.sources))
         command = [sys.executable, "-m", "paddleshunt_council", self.role]
         with self.log.open("ab") as log:
             self.popen = subprocess.Popen(command, env=variables, stdout=log, stderr=log)
@@ -130,6 +139,8 @@
     evacuated: set[str] = field(default_factory=set)
     returns: bool = False
     """Whether runners start again under the id that they had; each third tells no start."""
+    builds: dict[str, list[Path]] = field(default_factory=dict)
+    """Folders from which the programs of single processes are imported; `SOURCES` for others."""
 
     def __post_init__(self) -> None:
         self.net = f"127.{self.rng.randrange(1, 250)}.{os.getpid() % 250}"
@@ -319,6 +330,7 @@
             f"{self.net}.{number}",
             self.folder / f"{name}.log",
             self.folder / f"{name}.toml",
+            sources=self.builds.get(name, SOURCES),
         )
         self.processes[name] = process
         process.on_start = partial(self.record.serves_again, name)
