--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -35,10 +35,10 @@
 from paddleshunt_core.leased.lessons import Lessons
 from paddleshunt_core.leased.outcomes import (
     AnswerJob,
+    BroadcastLoss,
     Completed,
     Failed,
     GivenUp,
-    HandOn,
     JobOutcome,
     Refused,
 )
@@ -89,7 +89,7 @@
 """Ends of runs that never began."""
 
 
-Effect = AnswerJob | HandOn | Log
+Effect = AnswerJob | BroadcastLoss | Log
 
 
 @final
@@ -274,7 +274,7 @@
             return []
         effects: list[Effect] = [*logs, *confined]
         if source in self._targets:
-            effects.append(HandOn(news))
+            effects.append(BroadcastLoss(news))
         tasks = news.tasks if isinstance(news, RunnerLost) else []
         return [*effects, *self._check_jobs(now, {task.job for task in tasks})]
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
@@ -50,7 +50,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class HandOn:
+class BroadcastLoss:
     """Tell the other entries what has just been learned here."""
 
     news: LossNews
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.dispatcher import Dispatcher, Effect
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.linkpressure import PressureLevel
-from paddleshunt_core.leased.outcomes import AnswerJob, Completed, HandOn, Refused
+from paddleshunt_core.leased.outcomes import AnswerJob, BroadcastLoss, Completed, Refused
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.speeds import Speeds
@@ -266,7 +266,7 @@
             if isinstance(effect, Log):
                 self._around.log(effect)
                 self._around.measures.event(effect.event)
-            elif isinstance(effect, HandOn):
+            elif isinstance(effect, BroadcastLoss):
                 self._peers.tell_loss(effect.news)
             else:
                 self._answer(effect)
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.dispatcher import Dispatcher
 from paddleshunt_core.leased.jobs import JobRequest
-from paddleshunt_core.leased.outcomes import Completed, Failed, GivenUp, HandOn, Refused
+from paddleshunt_core.leased.outcomes import BroadcastLoss, Completed, Failed, GivenUp, Refused
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.wire import (
     Assign,
@@ -396,12 +396,12 @@
     dispatcher.greeted(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     lost = RunnerLost(LossId("i-1", 900), [TaskId("job", 0, 0)], ["q"], [100])
     told = dispatcher.told_loss(1.0, lost, "t")
-    assert [effect.news for effect in told if isinstance(effect, HandOn)] == [lost]
+    assert [effect.news for effect in told if isinstance(effect, BroadcastLoss)] == [lost]
     assert dispatcher.told_loss(1.0, lost, "t") == []
     other = RunnerLost(LossId("i-2", 900), [TaskId("job", 0, 0)], ["q"], [100])
     heard = dispatcher.told_loss(1.0, other, "e1")
     assert heard
-    assert not any(isinstance(effect, HandOn) for effect in heard)
+    assert not any(isinstance(effect, BroadcastLoss) for effect in heard)
 
 
 def test_a_job_that_ran_before_is_not_refused_as_one_that_did_not() -> None:
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -23,7 +23,7 @@
     StopRun,
     Supersede,
 )
-from paddleshunt_core.leased.outcomes import Failed, HandOn, JobOutcome
+from paddleshunt_core.leased.outcomes import BroadcastLoss, Failed, JobOutcome
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import Frame, Hello, SpeedNews, TaskId
@@ -477,7 +477,7 @@
                 self.answered_at[effect.caller] = self.now
                 if isinstance(effect.outcome, Failed) and not self._has_failed(effect.key):
                     self.wrongly_failed.append(effect.key)
-            elif isinstance(effect, HandOn):
+            elif isinstance(effect, BroadcastLoss):
                 self._hand_on(name, effect)
             else:
                 self._note(effect)
@@ -487,7 +487,7 @@
         tasks = [TaskId(key, 0, index) for index in range(self._requests[key].count)]
         return any(self.crashes.failed[task] >= self._queues[key].max_attempts for task in tasks)
 
-    def _hand_on(self, name: str, effect: HandOn) -> None:
+    def _hand_on(self, name: str, effect: BroadcastLoss) -> None:
         for other, node in self.entries.items():
             if other != name and node.moves:
                 dispatcher = self.dispatchers[other]
