--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -129,7 +129,7 @@
         self._pauses = StandStill(times.session)
         self._ends: float | None = None
         """When this process ends, if it is leaving."""
-        self.turned_away: Refused | None = None
+        self.new_job_refusal: Refused | None = None
         """What new jobs are told while this host's link is pressed; None to take them."""
 
     @property
@@ -182,8 +182,8 @@
         held = self._jobs.of_key(request.key)
         if held is not None:
             return [*effects, self._hand_over(now, caller, held)]
-        if self.turned_away is not None:
-            return [*effects, self._refuse(caller, request, self.turned_away)]
+        if self.new_job_refusal is not None:
+            return [*effects, self._refuse(caller, request, self.new_job_refusal)]
         expected = self._lessons.expect(queue, request)
         job = new_job(caller, request, queue, now, expected)
         job.place_from = now + self._caller_delay
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -454,7 +454,7 @@
         noticed = now >= self._unready_since + NOTICED_SECONDS
         self._callers.closing = self._leaving or noticed
         refused = Refused("link_pressed", PRESSED_RETRY)
-        self._dispatcher.turned_away = refused if pressed else None
+        self._dispatcher.new_job_refusal = refused if pressed else None
 
     # Time and sending.
 
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -308,7 +308,7 @@
     @property
     def turns_away(self) -> bool:
         """Whether it has followed a level at which it takes no jobs."""
-        return self.service._dispatcher.turned_away is not None
+        return self.service._dispatcher.new_job_refusal is not None
 
     async def ready(self) -> int:
         return (await self._ready.call("GET", "/ready", 1.0)).status
