--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -311,7 +311,7 @@
 
     # Targets.
 
-    def greeted(self, now: float, hello: Hello) -> tuple[Session | None, list[Effect]]:
+    def handle_hello(self, now: float, hello: Hello) -> tuple[Session | None, list[Effect]]:
         """Take a target's greeting; return the session, or None if the one it names is over.
 
         A target names no session only if nothing of an earlier one is left with it.
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -304,7 +304,7 @@
             self._peers.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
             link.send(self._hello(0, 0))
             return
-        session, effects = self._dispatcher.greeted(now, hello)
+        session, effects = self._dispatcher.handle_hello(now, hello)
         self._act(effects)
         if session is None:
             link.send(self._hello(0, 0))
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -355,7 +355,7 @@
     """A timer may be late, and the loop may not have asked whether the caller is gone."""
     times = lease_times(Bounds())
     dispatcher = Dispatcher(times, "hall", Random(7), caller_delay=0.004)
-    session, _ = dispatcher.greeted(1.0, Hello("t", "life", False, "hall", "", 0, 0))
+    session, _ = dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     assert session is not None
     room = Resources(8000, 8000)
     report = RunnerReport("svc", "i-1", RunnerState.READY, Health.GOOD, room, room)
@@ -375,7 +375,7 @@
 ) -> None:
     times = lease_times(Bounds())
     dispatcher = Dispatcher(times, "hall", Random(7), caller_delay=0.004)
-    session, _ = dispatcher.greeted(1.0, Hello("t", "life", False, "hall", "", 0, 0))
+    session, _ = dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     assert session is not None
     room = Resources(8000, 8000)
     report = RunnerReport("svc", "i-1", RunnerState.READY, Health.GOOD, room, room)
@@ -393,7 +393,7 @@
 def test_a_loss_is_handed_on_by_the_entry_that_a_target_told_only() -> None:
     """If each that hears of it told all, an old loss would never stop being told."""
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(7))
-    dispatcher.greeted(1.0, Hello("t", "life", False, "hall", "", 0, 0))
+    dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     lost = RunnerLost(LossId("i-1", 900), [TaskId("job", 0, 0)], ["q"], [100])
     told = dispatcher.told_loss(1.0, lost, "t")
     assert [effect.news for effect in told if isinstance(effect, BroadcastLoss)] == [lost]
--- a/testing/core/leased/test_stale_ends.py
+++ b/testing/core/leased/test_stale_ends.py
@@ -32,7 +32,7 @@
 def test_an_end_from_another_target_than_the_runs_own_is_ignored() -> None:
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(1))
     for name, free in (("t0", Resources(500, 8000)), ("t1", WHOLE)):
-        dispatcher.greeted(1.0, Hello(name, "life", False, "hall", "", 0, 0))
+        dispatcher.handle_hello(1.0, Hello(name, "life", False, "hall", "", 0, 0))
         dispatcher.heard(1.0, name, Frame(1, 0, 1000, 1000, [report(free)]))
     dispatcher.submit(1.0, 1, REQUEST, QUEUE)
     sent = dispatcher.session("t1")
@@ -50,7 +50,7 @@
     times = lease_times(Bounds())
     dispatcher = Dispatcher(times, "hall", Random(1))
     for name, free in (("t0", WHOLE), ("t1", Resources(500, 8000))):
-        dispatcher.greeted(1.0, Hello(name, "life", False, "hall", "", 0, 0))
+        dispatcher.handle_hello(1.0, Hello(name, "life", False, "hall", "", 0, 0))
         dispatcher.heard(1.0, name, Frame(1, 0, 1000, 1000, [report(free)]))
     dispatcher.submit(1.0, 1, REQUEST, QUEUE)
     now = 1.0
@@ -64,7 +64,7 @@
     session = dispatcher.session("t1")
     assert session is not None
     assert [type(b) for b in session.frame(int(now * 1000)).bodies] == [Assign]
-    dispatcher.greeted(now + 0.1, Hello("t0", "life", False, "hall", "", 0, 0))
+    dispatcher.handle_hello(now + 0.1, Hello("t0", "life", False, "hall", "", 0, 0))
     dispatcher.heard(now + 0.1, "t0", Frame(1, 0, 9000, 9000, [report(WHOLE)]))
     for name in ("t0", "t1"):
         again = dispatcher.session(name)
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -323,7 +323,7 @@
             self._act_entry(entry, dispatcher.place_waiting(self.now))
             link.answers = link.answers or dispatcher.owes_answer(self.now, target, message)
             return
-        session, effects = dispatcher.greeted(self.now, message)
+        session, effects = dispatcher.handle_hello(self.now, message)
         self._act_entry(entry, effects)
         number, received = (session.number, session.received) if session else (0, 0)
         life = str(self.entries[entry].life)
