--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -341,7 +341,7 @@
         target = self._targets.get(name)
         return target.session if target else None
 
-    def heard(self, now: float, name: str, frame: Frame) -> list[Effect]:
+    def handle_frame(self, now: float, name: str, frame: Frame) -> list[Effect]:
         """Take a frame of a target."""
         effects = self._notice_pause(now)
         target = self._targets.get(name)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -321,7 +321,7 @@
         """Take a frame of a target, or of another entry."""
         if self._links.get(link.peer) is link:
             now = self._now()
-            self._act(self._dispatcher.heard(now, link.peer, frame))
+            self._act(self._dispatcher.handle_frame(now, link.peer, frame))
             if self._dispatcher.owes_answer(now, link.peer, frame):
                 self._owed.add(link.peer)
         else:
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -360,7 +360,7 @@
     room = Resources(8000, 8000)
     report = RunnerReport("svc", "i-1", RunnerState.READY, Health.GOOD, room, room)
     dispatcher.submit(1.0, 1, JobRequest("job", "spec", 2, Resources(1000, 64), 0.4, 4.0), QUEUE)
-    dispatcher.heard(1.02, "t", Frame(1, 0, 1020, 0, [report]))
+    dispatcher.handle_frame(1.02, "t", Frame(1, 0, 1020, 0, [report]))
     getattr(dispatcher, woken_by)(1.02)
     assert dispatcher.awaits_callers
     assert not any(isinstance(body, Assign) for body in session.frame(1020).bodies)
@@ -379,7 +379,7 @@
     assert session is not None
     room = Resources(8000, 8000)
     report = RunnerReport("svc", "i-1", RunnerState.READY, Health.GOOD, room, room)
-    dispatcher.heard(1.0, "t", Frame(1, 0, 1000, 0, [report]))
+    dispatcher.handle_frame(1.0, "t", Frame(1, 0, 1000, 0, [report]))
     session.frame(1000)
     request = JobRequest("job", "spec", 2, Resources(1000, 64), 0.4, 4.0)
     dispatcher.submit(1.01, 1, request, QUEUE)
--- a/testing/core/leased/test_odd_frames.py
+++ b/testing/core/leased/test_odd_frames.py
@@ -102,7 +102,7 @@
     dispatcher, worker = fleet.dispatchers["e0"], fleet.workers["t0"]
     now_ms = int(fleet.now * 1000)
     for _ in range(FRAMES):
-        dispatcher.heard(fleet.now, "t0", odd.frame(now_ms, dispatcher.session("t0")))
+        dispatcher.handle_frame(fleet.now, "t0", odd.frame(now_ms, dispatcher.session("t0")))
         dispatcher.place_waiting(fleet.now)
         dispatcher.tick(fleet.now)
         worker.heard(fleet.now, "e0", odd.frame(now_ms, worker.session("e0")))
@@ -131,7 +131,7 @@
     ends = [(RunId(TaskId("job", 0, index), 1), end) for index in (-1, -3, 3, 2**63)]
     now_ms = int(fleet.now * 1000)
     frame = Frame(session.received + 1, 0, now_ms, now_ms, [Ended(ends)])
-    fleet.dispatchers["e0"].heard(fleet.now, "t0", frame)
+    fleet.dispatchers["e0"].handle_frame(fleet.now, "t0", frame)
     session.received -= 1
     fleet.run(1.0)
     assert fleet.answers[caller] == Completed()
--- a/testing/core/leased/test_stale_ends.py
+++ b/testing/core/leased/test_stale_ends.py
@@ -33,13 +33,13 @@
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(1))
     for name, free in (("t0", Resources(500, 8000)), ("t1", WHOLE)):
         dispatcher.handle_hello(1.0, Hello(name, "life", False, "hall", "", 0, 0))
-        dispatcher.heard(1.0, name, Frame(1, 0, 1000, 1000, [report(free)]))
+        dispatcher.handle_frame(1.0, name, Frame(1, 0, 1000, 1000, [report(free)]))
     dispatcher.submit(1.0, 1, REQUEST, QUEUE)
     sent = dispatcher.session("t1")
     assert sent is not None
     assert [type(body) for body in sent.frame(1000).bodies] == [Assign]
     stale = Ended([(RunId(TaskId("job", 0, 0), 1), End.STOPPED)])
-    dispatcher.heard(1.01, "t0", Frame(2, 0, 1010, 1010, [stale, report(WHOLE)]))
+    dispatcher.handle_frame(1.01, "t0", Frame(2, 0, 1010, 1010, [stale, report(WHOLE)]))
     for name in ("t0", "t1"):
         session = dispatcher.session(name)
         assert session is not None
@@ -51,21 +51,21 @@
     dispatcher = Dispatcher(times, "hall", Random(1))
     for name, free in (("t0", WHOLE), ("t1", Resources(500, 8000))):
         dispatcher.handle_hello(1.0, Hello(name, "life", False, "hall", "", 0, 0))
-        dispatcher.heard(1.0, name, Frame(1, 0, 1000, 1000, [report(free)]))
+        dispatcher.handle_frame(1.0, name, Frame(1, 0, 1000, 1000, [report(free)]))
     dispatcher.submit(1.0, 1, REQUEST, QUEUE)
     now = 1.0
     while now < 1.0 + times.session + 0.2:
         now += 0.1
-        dispatcher.heard(now, "t1", Frame(2, 0, int(now * 1000), 0, []))
+        dispatcher.handle_frame(now, "t1", Frame(2, 0, int(now * 1000), 0, []))
         dispatcher.tick(now)
     dispatcher.caller_left(now, 1)
-    dispatcher.heard(now, "t1", Frame(2, 0, int(now * 1000), 0, [report(WHOLE)]))
+    dispatcher.handle_frame(now, "t1", Frame(2, 0, int(now * 1000), 0, [report(WHOLE)]))
     dispatcher.submit(now, 2, REQUEST, QUEUE)
     session = dispatcher.session("t1")
     assert session is not None
     assert [type(b) for b in session.frame(int(now * 1000)).bodies] == [Assign]
     dispatcher.handle_hello(now + 0.1, Hello("t0", "life", False, "hall", "", 0, 0))
-    dispatcher.heard(now + 0.1, "t0", Frame(1, 0, 9000, 9000, [report(WHOLE)]))
+    dispatcher.handle_frame(now + 0.1, "t0", Frame(1, 0, 9000, 9000, [report(WHOLE)]))
     for name in ("t0", "t1"):
         again = dispatcher.session(name)
         assert again is not None
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -319,7 +319,7 @@
         target, entry = pair
         dispatcher = self.dispatchers[entry]
         if isinstance(message, Frame):
-            self._act_entry(entry, dispatcher.heard(self.now, target, message))
+            self._act_entry(entry, dispatcher.handle_frame(self.now, target, message))
             self._act_entry(entry, dispatcher.place_waiting(self.now))
             link.answers = link.answers or dispatcher.owes_answer(self.now, target, message)
             return
