--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -248,7 +248,7 @@
         """What is known of evacuated halls."""
         return self._evacuations
 
-    def told_evacuations(self, now: float, told: EvacuatedHalls, source: str) -> list[Effect]:
+    def handle_evacuations(self, now: float, told: EvacuatedHalls, source: str) -> list[Effect]:
         """Follow a word of evacuated halls, and tell the targets; an older one changes nothing."""
         if not self._evacuations.learn(told):
             return []
@@ -263,7 +263,7 @@
         """Return what is remembered of lost runners, for an entry that was just met."""
         return self._retries.known_losses(now)
 
-    def told_loss(self, now: float, news: LossNews, source: str) -> list[Effect]:
+    def handle_loss_news(self, now: float, news: LossNews, source: str) -> list[Effect]:
         """Follow a word on a lost runner, and give up jobs that it decides.
 
         A target's own word is handed on to all entries; theirs is not, or each would tell all.
@@ -302,7 +302,7 @@
         """What is known of how slow the kinds of hosts are."""
         return self._speeds
 
-    def told_speeds(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
+    def handle_speed_news(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
         """Take another entry's word on kinds of hosts that it knows much better."""
         taken = self._speeds.told(news)
         if taken:
@@ -564,9 +564,9 @@
                 self._wants.reported(target)
                 self._check_evacuation(target, body)
             case EvacuationNews():
-                return self.told_evacuations(now, body.evacuated, target.name)
+                return self.handle_evacuations(now, body.evacuated, target.name)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
-                return self.told_loss(now, body, target.name)
+                return self.handle_loss_news(now, body, target.name)
             case Ended():
                 effects: list[Effect] = []
                 for run, end in body.ends:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -365,7 +365,7 @@
 
     def told_loss(self, news: LossNews, source: str) -> None:
         """Take another entry's word on a lost runner."""
-        self._act(self._dispatcher.told_loss(self._now(), news, source))
+        self._act(self._dispatcher.handle_loss_news(self._now(), news, source))
 
     @property
     def speeds(self) -> Speeds:
@@ -374,7 +374,7 @@
 
     def told_speeds(self, news: SpeedNews, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
-        self._act(self._dispatcher.told_speeds(self._now(), news, source))
+        self._act(self._dispatcher.handle_speed_news(self._now(), news, source))
 
     def targets_held(self) -> int:
         """Return how many targets are in session, for other entries."""
@@ -394,7 +394,7 @@
     def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Follow a word of evacuated halls if it is newer, and hand it on."""
         before = self.evacuations.known
-        self._act(self._dispatcher.told_evacuations(self._now(), evacuated, source))
+        self._act(self._dispatcher.handle_evacuations(self._now(), evacuated, source))
         if set(self.evacuations.known.halls) != set(before.halls):
             self._peers.tell_evacuations(self.evacuations.known)
 
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -395,11 +395,11 @@
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(7))
     dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     lost = RunnerLost(LossId("i-1", 900), [TaskId("job", 0, 0)], ["q"], [100])
-    told = dispatcher.told_loss(1.0, lost, "t")
+    told = dispatcher.handle_loss_news(1.0, lost, "t")
     assert [effect.news for effect in told if isinstance(effect, BroadcastLoss)] == [lost]
-    assert dispatcher.told_loss(1.0, lost, "t") == []
+    assert dispatcher.handle_loss_news(1.0, lost, "t") == []
     other = RunnerLost(LossId("i-2", 900), [TaskId("job", 0, 0)], ["q"], [100])
-    heard = dispatcher.told_loss(1.0, other, "e1")
+    heard = dispatcher.handle_loss_news(1.0, other, "e1")
     assert heard
     assert not any(isinstance(effect, BroadcastLoss) for effect in heard)
 
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -140,7 +140,7 @@
 
 
 def tell(fleet: Fleet, entry: str, word: EvacuatedHalls) -> None:
-    fleet.dispatchers[entry].told_evacuations(fleet.now, word, "store")
+    fleet.dispatchers[entry].handle_evacuations(fleet.now, word, "store")
 
 
 def starts(fleet: Fleet) -> int:
