--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -354,7 +354,7 @@
         self._unplaced = self._unplaced or bool(bodies)
         return effects
 
-    def owes_answer(self, now: float, name: str, frame: Frame) -> bool:
+    def needs_immediate_reply(self, now: float, name: str, frame: Frame) -> bool:
         """Whether a target's frame is to be answered at once, which renews its lease.
 
         Not if it has just been renewed; a frame that carried no later echo renewed nothing, as the
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -322,7 +322,7 @@
         if self._links.get(link.peer) is link:
             now = self._now()
             self._act(self._dispatcher.handle_frame(now, link.peer, frame))
-            if self._dispatcher.owes_answer(now, link.peer, frame):
+            if self._dispatcher.needs_immediate_reply(now, link.peer, frame):
                 self._owed.add(link.peer)
         else:
             self._peers.heard(link, frame)
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -321,7 +321,9 @@
         if isinstance(message, Frame):
             self._act_entry(entry, dispatcher.handle_frame(self.now, target, message))
             self._act_entry(entry, dispatcher.place_waiting(self.now))
-            link.answers = link.answers or dispatcher.owes_answer(self.now, target, message)
+            link.answers = link.answers or dispatcher.needs_immediate_reply(
+                self.now, target, message
+            )
             return
         session, effects = dispatcher.handle_hello(self.now, message)
         self._act_entry(entry, effects)
