--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -368,11 +368,11 @@
         pause = self._times.idle_reply if calm else self._times.reply_pause
         return now > target.session.renewed_ms / 1000 + pause
 
-    def answer_due(self) -> float | None:
-        """Return when `check_answers` is due, if a target is to confirm that it lives."""
+    def next_confirmation_deadline(self) -> float | None:
+        """Return when `check_confirmations` is due, if a target is to confirm that it lives."""
         return self._answers.due()
 
-    def check_answers(self, now: float) -> list[Effect]:
+    def check_confirmations(self, now: float) -> list[Effect]:
         """Place elsewhere what targets were given that do not answer; it has never begun."""
         effects = self._notice_pause(now)
         logs = self._answers.check(now)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -498,7 +498,7 @@
 
     def _await_answers(self) -> None:
         """Look for idle targets that don't answer when the first is overdue."""
-        due = self._dispatcher.answer_due()
+        due = self._dispatcher.next_confirmation_deadline()
         if due is not None and self._answers_timer is None:
             due_in = due - self._now() + TIMER_MARGIN
             self._answers_timer = self._loop.call_later(due_in, self._check_answers)
@@ -509,7 +509,7 @@
 
     def _check_read_answers(self) -> None:
         self._answers_timer = None
-        self._act(self._dispatcher.check_answers(self._now()))
+        self._act(self._dispatcher.check_confirmations(self._now()))
 
     def _send(self, link: PeerLink, session: Session) -> None:
         now = self._now()
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -350,7 +350,7 @@
     assert returned < placed / 6
 
 
-@pytest.mark.parametrize("woken_by", ["tick", "place_waiting", "check_answers"])
+@pytest.mark.parametrize("woken_by", ["tick", "place_waiting", "check_confirmations"])
 def test_only_what_knows_the_ends_of_connections_places_a_new_job_first(woken_by: str) -> None:
     """A timer may be late, and the loop may not have asked whether the caller is gone."""
     times = lease_times(Bounds())
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -377,9 +377,9 @@
 
     def _step_entry(self, name: str) -> None:
         dispatcher = self.dispatchers[name]
-        due = dispatcher.answer_due()
+        due = dispatcher.next_confirmation_deadline()
         if due is not None and self.now >= due:
-            self._act_entry(name, dispatcher.check_answers(self.now))
+            self._act_entry(name, dispatcher.check_confirmations(self.now))
         self._act_entry(name, dispatcher.tick(self.now))
 
     def _step_target(self, name: str) -> None:
