--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -138,8 +138,8 @@
         return len(self._jobs)
 
     @property
-    def awaits_callers(self) -> bool:
-        """Whether `place_arrived` is due for a job, now or soon."""
+    def has_new_jobs(self) -> bool:
+        """Whether `place_new_jobs` is due for a job, now or soon."""
         return any(not job.is_awaited for job in self._jobs.all())
 
     @property
@@ -378,7 +378,7 @@
         logs = self._answers.check(now)
         return [*effects, *logs, *self._place(now)] if logs else effects
 
-    def place_arrived(self, now: float) -> list[Effect]:
+    def place_new_jobs(self, now: float) -> list[Effect]:
         """Place jobs whose callers have had the time to say that they left.
 
         Nothing else places them first: call it once the ends of connections that had come are
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -253,7 +253,7 @@
 
     def _place_soon(self) -> None:
         """Place what has just come, once the connections that have ended are known."""
-        once_known(self._loop, lambda: self._act(self._dispatcher.place_arrived(self._now())))
+        once_known(self._loop, lambda: self._act(self._dispatcher.place_new_jobs(self._now())))
 
     def abandoned(self, exchange: Exchange) -> None:
         """Stop the work of a caller that left."""
@@ -466,7 +466,7 @@
             self._targetless.count(self._now(), len(self._links))
             self._act(self._dispatcher.tick(self._now()))
             self._flush()
-            if self._dispatcher.awaits_callers:
+            if self._dispatcher.has_new_jobs:
                 self._place_soon()
             self._close_silent()
             now = self._now()
--- a/testing/core/leased/test_answers.py
+++ b/testing/core/leased/test_answers.py
@@ -160,7 +160,7 @@
         assert fleet.dispatchers["e0"].session("t0") is None
 
 
-@pytest.mark.parametrize("woken_by", ["check_confirmations", "place_arrived", "place_waiting"])
+@pytest.mark.parametrize("woken_by", ["check_confirmations", "place_new_jobs", "place_waiting"])
 def test_an_entry_that_stood_still_places_nothing_as_a_timer_wakes_it(
     fleet: Fleet, woken_by: str
 ) -> None:
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -362,10 +362,10 @@
     dispatcher.submit(1.0, 1, JobRequest("job", "spec", 2, Resources(1000, 64), 0.4, 4.0), QUEUE)
     dispatcher.handle_frame(1.02, "t", Frame(1, 0, 1020, 0, [report]))
     getattr(dispatcher, woken_by)(1.02)
-    assert dispatcher.awaits_callers
+    assert dispatcher.has_new_jobs
     assert not any(isinstance(body, Assign) for body in session.frame(1020).bodies)
-    dispatcher.place_arrived(1.02)
-    assert not dispatcher.awaits_callers
+    dispatcher.place_new_jobs(1.02)
+    assert not dispatcher.has_new_jobs
     assert any(isinstance(body, Assign) for body in session.frame(1020).bodies)
 
 
@@ -383,9 +383,9 @@
     session.frame(1000)
     request = JobRequest("job", "spec", 2, Resources(1000, 64), 0.4, 4.0)
     dispatcher.submit(1.01, 1, request, QUEUE)
-    dispatcher.place_arrived(1.01 + leaves_after)
+    dispatcher.place_new_jobs(1.01 + leaves_after)
     dispatcher.caller_left(1.01 + leaves_after, 1)
-    dispatcher.place_arrived(1.02)
+    dispatcher.place_new_jobs(1.02)
     bodies = session.frame(1020).bodies
     assert any(isinstance(body, Assign) for body in bodies) == placed
 
