--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
@@ -75,6 +75,6 @@
         "most_free": max((t.free.processor for t in usable), default=0),
         "targets": len(room.known(job.queue.service)),
         "usable": len(usable),
-        "oldest_report_ms": round(max((now - t.reported for t in usable), default=0) * 1000),
+        "oldest_report_ms": round(max((now - t.reported_at for t in usable), default=0) * 1000),
     }
     return note("job_refused", job.request.key, **fields)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -101,5 +101,5 @@
         target=target.name,
         indexes=",".join(str(task.id.index) for task in tasks),
         load=round(target.load, 2),
-        report_age_ms=round((now - target.reported) * 1000),
+        report_age_ms=round((now - target.reported_at) * 1000),
     )
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -34,7 +34,7 @@
     lost_at: float = 0.0
     """When nothing of an ended session can run there any more."""
     report: RunnerReport | None = None
-    reported: float = 0.0
+    reported_at: float = 0.0
     unseen: deque[tuple[int, Resources]] = field(default_factory=deque)
     """Needs of assignments that the last report doesn't cover, by their number."""
     on_way: Resources = NOTHING
@@ -74,7 +74,7 @@
         cold_until = now + report.cold_ms / 1000
         self.cold_until = cold_until if report.cold_ms else min(self.cold_until, now)
         self.report = report
-        self.reported = now
+        self.reported_at = now
 
     def reset(self) -> None:
         """Forget what a session that has ended told, and what it was sent."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
@@ -44,5 +44,7 @@
 
 def _report_age(dispatcher: Dispatcher) -> float:
     now = clock.now()
-    ages = [now - target.reported for target in dispatcher.targets() if target.report is not None]
+    ages = [
+        now - target.reported_at for target in dispatcher.targets() if target.report is not None
+    ]
     return max(ages, default=0.0)
