--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -530,7 +530,7 @@
             lost = list(target.held)
             target.held.clear()
             return self._run_again(now, lost, target.name, "lease_lapsed")
-        if now > target.heard + FORGET_SECONDS:
+        if now > target.last_received + FORGET_SECONDS:
             del self._targets[target.name]
         return []
 
@@ -550,7 +550,7 @@
         self._jobs.hold(target.held, target.name)
         fields: dict[str, str | int | float] = {
             "target": target.name,
-            "silent_ms": round((now - target.heard) * 1000),
+            "silent_ms": round((now - target.last_received) * 1000),
             "held": len(target.held),
         }
         return [note("session_ended", **fields)]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -30,7 +30,7 @@
     life: str
     session: Session | None = None
     connected: bool = False
-    heard: float = 0.0
+    last_received: float = 0.0
     lost_at: float = 0.0
     """When nothing of an ended session can run there any more."""
     report: RunnerReport | None = None
@@ -122,7 +122,7 @@
 
     def spoke(self, now: float) -> None:
         """Note that it said something."""
-        self.heard = now
+        self.last_received = now
         self.unanswered = False
         if self.asked is not None:
             self.answered_in = now - self.asked
@@ -134,14 +134,14 @@
             return False
         if self.asked is not None:
             return True
-        silence = now - max(self.heard, self.held_since)
+        silence = now - max(self.last_received, self.held_since)
         return silence <= (times.fresh if self.placed else times.idle_fresh)
 
     def is_silent(self, now: float, times: LeaseTimes) -> bool:
         """Whether it has said nothing for so long that its session is over."""
         if self.placed:
-            return now >= max(self.heard, self.held_since) + times.session
-        return now >= self.heard + times.idle_session
+            return now >= max(self.last_received, self.held_since) + times.session
+        return now >= self.last_received + times.idle_session
 
     def may_begin(self, times: LeaseTimes, placed_at: float) -> bool:
         """Whether what was placed there at a time may have been started.
@@ -169,7 +169,7 @@
         """Return a summary for a dump."""
         return {
             "session": self.session.number if self.session else 0,
-            "silent_s": round(now - self.heard, 2),
+            "silent_s": round(now - self.last_received, 2),
             "report": self.report,
             "placed": len(self.placed),
             "held": len(self.held),
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -151,7 +151,7 @@
 ) -> None:
     targets = [of_kind("fast", FAST, free=free), of_kind("slow", SLOW)]
     for record in targets:
-        record.connected, record.heard = True, 10.0 + after
+        record.connected, record.last_received = True, 10.0 + after
         record.session = Session(1, 0)
     room = RoomNow(10.0 + after, targets, lease_times(Bounds()))
     held = Placement("hall", Random(1), 1.5).awaits_kind(10.0 + after, job(), room)
@@ -199,7 +199,7 @@
 ) -> None:
     targets = [fast, large(of_kind("slow", SLOW, "b"))]
     for record in targets:
-        record.connected, record.heard = True, 10.1
+        record.connected, record.last_received = True, 10.1
         record.session = Session(1, 0)
     room = RoomNow(10.1, targets, lease_times(Bounds()))
     assert chosen(10.1, asked, *targets) == "slow"
--- a/testing/core/leased/test_room.py
+++ b/testing/core/leased/test_room.py
@@ -13,7 +13,7 @@
 
 
 def target(name: str, free: Resources, service: str = "svc") -> TargetRecord:
-    record = TargetRecord(name, "hall", "1", Session(1, 0), connected=True, heard=10.0)
+    record = TargetRecord(name, "hall", "1", Session(1, 0), connected=True, last_received=10.0)
     record.report = RunnerReport(service, name, RunnerState.READY, Health.GOOD, SIZE, free)
     return record
 
