--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -237,11 +237,11 @@
         for sample in samples:
             others = [s.length for s in samples if s is not sample]
             if others:
-                sample.target.took(sample.length / _mean(others), 1.0)
+                sample.target.observe_duration_ratio(sample.length / _mean(others), 1.0)
             else:
                 # A length is meant for a usual host, and what a sample tells for one of factor 1.
                 ratio = sample.length * self.typical(sample.kind[0]) / expected
-                sample.target.took(ratio, LENGTH_WEIGHT_ALONE)
+                sample.target.observe_duration_ratio(ratio, LENGTH_WEIGHT_ALONE)
             self.reported(sample.target)
 
     def tick(self, now: float, targets: Iterable[TargetRecord]) -> None:
@@ -272,7 +272,7 @@
                 factor = known[kind] = self.factor(*kind)
             target.kind_factor = factor
             if target.deviation != 1.0:
-                target.faded(seconds)
+                target.decay_deviation(seconds)
             factors.setdefault(report.service, []).append(factor)
         self._present = set(known)
         self._note_unproven(known)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -104,13 +104,13 @@
         """How many times as long as expected its runner's tasks take."""
         return self.kind_factor * self.deviation
 
-    def took(self, ratio: float, weight: float = 1.0) -> None:
+    def observe_duration_ratio(self, ratio: float, weight: float = 1.0) -> None:
         """Note that a task took `ratio` times as long as was expected of this runner."""
         least, most = DEVIATION_LIMITS
         shown = min(most, max(least, ratio * self.deviation))
         self.deviation += DEVIATION_STEP * weight * (shown - self.deviation)
 
-    def faded(self, seconds: float) -> None:
+    def decay_deviation(self, seconds: float) -> None:
         """Let the deviation fade by the passing of so many seconds."""
         self.deviation += (1.0 - self.deviation) * min(1.0, seconds / DEVIATION_SECONDS)
 
