--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/answers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/answers.py
@@ -38,7 +38,7 @@
     def ask(self, now: float, assigned: Iterable[TargetRecord]) -> None:
         """Expect an answer of those targets, just assigned something, whose lease was over."""
         for target in assigned:
-            if target.asked is None and not target.may_begin(self._times, now):
+            if target.asked is None and not target.may_have_started(self._times, now):
                 target.asked = now
                 self._asked.append(target)
 
@@ -80,7 +80,7 @@
         task = self._jobs.task(run, target.name)
         if task is None or task.phase is not TaskPhase.PLACED:
             return None
-        return None if target.may_begin(self._times, task.placed_at) else task
+        return None if target.may_have_started(self._times, task.placed_at) else task
 
 
 def _returned(target: TargetRecord, run: RunId, task: TaskRecord) -> Log:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -143,7 +143,7 @@
             return now >= max(self.last_received, self.held_since) + times.session
         return now >= self.last_received + times.idle_session
 
-    def may_begin(self, times: LeaseTimes, placed_at: float) -> bool:
+    def may_have_started(self, times: LeaseTimes, placed_at: float) -> bool:
         """Whether what was placed there at a time may have been started.
 
         If the lease was over when it was placed, it starts only by an echo that is sent later.
--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -178,7 +178,7 @@
         """Let time pass until no target may start anything, as far as entries know."""
         for _ in range(150):
             if not any(
-                target.may_begin(self.fleet.times, self.fleet.now)
+                target.may_have_started(self.fleet.times, self.fleet.now)
                 for dispatcher in self.fleet.dispatchers.values()
                 for target in dispatcher.targets()
             ):
