--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -152,7 +152,7 @@
             return True
         return placed_at <= self.session.renewed_ms / 1000 + times.lapse
 
-    def takes(self, now: float, service: str, times: LeaseTimes) -> bool:
+    def can_accept(self, now: float, service: str, times: LeaseTimes) -> bool:
         """Whether tasks of `service` may be sent there."""
         report = self.report
         return (
