--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
@@ -50,7 +50,7 @@
             wanted += each.need
         return len(self._wanted) > 1 and not wanted.fits(free)
 
-    def holder(self, now: float, free: Resources) -> str | None:
+    def offered_to(self, now: float, free: Resources) -> str | None:
         """Return the entry that `free` room is for; None if nobody waits for so much."""
         if self._offered is not None and now >= self._since + OFFER_SECONDS:
             self.drop(self._offered)
@@ -58,7 +58,7 @@
             self._offer(now, free)
         return self._offered
 
-    def lapses(self) -> float | None:
+    def expires_at(self) -> float | None:
         """Return when the offer that stands lapses."""
         return None if self._offered is None else self._since + OFFER_SECONDS
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -43,7 +43,7 @@
         free = self._control.offered(now)
         holder = self._holder(now, free, plenty)
         if holder is not None:
-            next_due = self._offers.lapses()
+            next_due = self._offers.expires_at()
         for name, link in links.items():
             if link.session is None:
                 continue
@@ -74,7 +74,7 @@
             return None
         if plenty and not self._offers.is_contended(free):
             return None
-        return self._offers.holder(now, free)
+        return self._offers.offered_to(now, free)
 
     def _report(self, now: float, link: EntryLink, shown: Resources) -> RunnerReport:
         control = self._control
