--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -54,7 +54,7 @@
         return confined or not self._placement.awaits_kind(now, job, room)
 
     def _place_job(self, now: float, job: JobRecord, targets: list[TargetRecord]) -> list[Log]:
-        able = self._placement.able(job, targets)
+        eligible = self._placement.eligible(job, targets)
         chosen: dict[str, list[TaskRecord]] = {}
         by_name = {target.name: target for target in able}
         for task in job.waiting() if able else ():
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/lessons.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/lessons.py
@@ -35,7 +35,7 @@
         if target.report is None or target.report.health is not Health.GOOD:
             return
         request = job.request
-        work = work_of(now - task.placed_at) / self._placement.away_factor(job, target)
+        work = work_of(now - task.placed_at) / self._placement.locality_factor(job, target)
         task.work, task.ran_on = work, target.runner
         sound = work * self._speeds.typical(job.queue.service) / target.slowness
         self._lengths.of(job.queue.name).ended(request.estimate, request.deadline, sound)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -154,7 +154,7 @@
         self._probed: dict[str, float] = {}
         self._plan: _Plan | None = None
 
-    def able(self, job: JobRecord, targets: list[TargetRecord]) -> list[TargetRecord]:
+    def eligible(self, job: JobRecord, targets: list[TargetRecord]) -> list[TargetRecord]:
         """Return the targets whose runner may run the job's tasks; none if none has room."""
         request = job.request
         able = [t for t in targets if t.could_run(request.need)]
@@ -162,7 +162,7 @@
             able = [t for t in able if t.has_label(request.label)]
         return able if any(request.need.fits(t.free) for t in able) else []
 
-    def away_factor(self, job: JobRecord, target: TargetRecord) -> float:
+    def locality_factor(self, job: JobRecord, target: TargetRecord) -> float:
         """Return how many times as long a task takes at a target, by where its data lies."""
         rack = job.request.rack
         return self._remote_factor if rack and not target.has_label(rack) else 1.0
@@ -234,7 +234,7 @@
     ) -> _Candidate:
         """Return a candidate; with `even`, as if hosts of all kinds were alike."""
         usual = target.kind_factor if even else self._speeds.typical(job.queue.service)
-        factor = self.away_factor(job, target) / usual
+        factor = self.locality_factor(job, target) / usual
         way = 0.0 if target.hall == self._hall else self._hall_preference
         kind = target.kind_factor * factor
         if target.is_cold(now):
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -36,7 +36,7 @@
 def chosen(now: float, asked: JobRecord, *targets: TargetRecord) -> str:
     """Return the name of the target that the job's first task goes to, or nothing."""
     placement = Placement("hall", Random(1), 1.5)
-    able = placement.able(asked, list(targets))
+    eligible = placement.eligible(asked, list(targets))
     found = placement.choose(now, asked, asked.tasks[0], able) if able else None
     return found.name if found else ""
 
@@ -79,7 +79,7 @@
 def test_tasks_of_a_job_that_are_placed_together_are_spread() -> None:
     placement = Placement("hall", Random(1), 1.5)
     asked = job(spread=2, count=5)
-    able = placement.able(asked, [target("t1"), target("t2")])
+    eligible = placement.eligible(asked, [target("t1"), target("t2")])
     names = []
     for task in asked.tasks:
         found = placement.choose(10.0, asked, task, able)
@@ -291,7 +291,7 @@
     there = of_kind("there", 1.0, hall="other")
     placement = Placement("hall", Random(1), 1.5, hall_preference=preference)
     asked = job()
-    found = placement.choose(10.0, asked, asked.tasks[0], placement.able(asked, [here, there]))
+    found = placement.choose(10.0, asked, asked.tasks[0], placement.eligible(asked, [here, there]))
     assert found is not None
     assert found.name == expected
 
@@ -300,7 +300,7 @@
     placement = Placement("hall", Random(1), 1.5, hall_preference=0.4)
     targets = [of_kind(f"t{number}", 1.0, hall="other") for number in range(6)]
     asked = job(count=3)
-    able = placement.able(asked, targets)
+    eligible = placement.eligible(asked, targets)
     names = set()
     for task in asked.tasks:
         found = placement.choose(10.0, asked, task, able)
@@ -315,7 +315,7 @@
 
 def chosen_far(now: float, asked: JobRecord, factor: float, *targets: TargetRecord) -> str:
     placement = Placement("hall", Random(1), factor)
-    able = placement.able(asked, list(targets))
+    eligible = placement.eligible(asked, list(targets))
     found = placement.choose(now, asked, asked.tasks[0], able) if able else None
     return found.name if found else ""
 
