--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -13,7 +13,7 @@
 from leasedfleet import Fleet
 from paddleshunt_core.leased import retries
 from paddleshunt_core.leased.outcomes import Completed, Failed
-from paddleshunt_core.leased.retries import LOST_RUNS
+from paddleshunt_core.leased.retries import MAX_LOST_RUNS
 
 KINDS = ((8, 0.06), (4, 0.9), (2, 0.2))
 """Sound jobs: tasks, and seconds of each; drawn by `WEIGHTS`."""
@@ -96,8 +96,8 @@
 
 def _choose(lost_runners: int) -> None:
     """Let the core give up after so many."""
-    retries.LOST_RUNNERS = lost_runners
-    retries.LOST_RUNS = max(lost_runners, LOST_RUNS)
+    retries.MAX_LOST_RUNNERS = lost_runners
+    retries.MAX_LOST_RUNS = max(lost_runners, MAX_LOST_RUNS)
 
 
 @click.command()
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -16,20 +16,20 @@
 from paddleshunt_core.leased.outcomes import GivenUp
 from paddleshunt_core.leased.wire import LossNews, RunnerReturned, RunnerSilent
 
-LOST_RUNNERS = 2
+MAX_LOST_RUNNERS = 2
 """Runners lost under a task after which it is not started again, whatever else ran on them.
 
 One more costs the neighbours on the third runner more than it spares sound jobs that were beside
 the cause twice: measured in docs/design/crashing-tasks.md.
 """
 
-LOST_RUNS = 3
+MAX_LOST_RUNS = 3
 """The same of lost runners and runs lost with their target or its session, if a runner was lost.
 
 Why a session ended nobody tells: its runner may have been lost behind a cut.
 """
 
-MOST_RETRIES = 8
+MAX_RETRIES = 8
 """Runs that may have begun without ending well, after which a task is not tried again.
 
 A task that is no fault of this meets a lost, a hanging and a slow runner in turn and has some left.
@@ -106,12 +106,12 @@
     def _outcome(self, task: TaskRecord) -> GivenUp | None:
         """Return how the job of a task ends that is not to be tried again; None if it may be."""
         runners = self._suspicious(task)
-        if runners >= LOST_RUNNERS:
+        if runners >= MAX_LOST_RUNNERS:
             ended = len(self._losses.ended(task.id))
-            return GivenUp(ENDED_RUNNERS if ended >= LOST_RUNNERS else SILENT_RUNNERS)
-        if runners and runners + task.losses >= LOST_RUNS:
+            return GivenUp(ENDED_RUNNERS if ended >= MAX_LOST_RUNNERS else SILENT_RUNNERS)
+        if runners and runners + task.losses >= MAX_LOST_RUNS:
             return GivenUp(LOST_SESSIONS)
-        return GivenUp(RETRIES) if task.retries >= MOST_RETRIES else None
+        return GivenUp(RETRIES) if task.retries >= MAX_RETRIES else None
 
     def _suspicious(self, task: TaskRecord) -> int:
         """Return how many runners were lost under a task that it may have taken down.
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.retries import (
     ENDED_RUNNERS,
-    LOST_RUNNERS,
+    MAX_LOST_RUNNERS,
     SILENT_RUNNERS,
     Retries,
 )
@@ -173,10 +173,10 @@
         for task in TASKS
     ]
     outcome = retries.outcome(1.0, new_record())
-    counts = any(len(runners) >= LOST_RUNNERS for runners, _ in expected(words).values())
+    counts = any(len(runners) >= MAX_LOST_RUNNERS for runners, _ in expected(words).values())
     assert (outcome is None) != counts
     if outcome == GivenUp(ENDED_RUNNERS):
-        assert any(len(ended) >= LOST_RUNNERS for ended in known)
+        assert any(len(ended) >= MAX_LOST_RUNNERS for ended in known)
     elif outcome is not None:
         assert outcome == GivenUp(SILENT_RUNNERS)
 
--- a/testing/core/leased/test_retries.py
+++ b/testing/core/leased/test_retries.py
@@ -11,10 +11,10 @@
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.retries import (
     ENDED_RUNNERS,
-    LOST_RUNNERS,
-    LOST_RUNS,
     LOST_SESSIONS,
-    MOST_RETRIES,
+    MAX_LOST_RUNNERS,
+    MAX_LOST_RUNS,
+    MAX_RETRIES,
     RETRIES,
     SILENT_RUNNERS,
     Retries,
@@ -38,7 +38,7 @@
     return replace(loss(number, job), ended=[job.tasks[1].id])
 
 
-@pytest.mark.parametrize("runners", range(LOST_RUNNERS + 1))
+@pytest.mark.parametrize("runners", range(MAX_LOST_RUNNERS + 1))
 @pytest.mark.parametrize(
     ("word", "given_up"), [(loss, GivenUp(SILENT_RUNNERS)), (end, GivenUp(ENDED_RUNNERS))]
 )
@@ -49,7 +49,7 @@
     retries = Retries()
     for number in range(runners):
         retries.learn(1.0, word(number, job), "t")
-    assert retries.outcome(5.0, job) == (given_up if runners >= LOST_RUNNERS else None)
+    assert retries.outcome(5.0, job) == (given_up if runners >= MAX_LOST_RUNNERS else None)
 
 
 @pytest.mark.parametrize("last", [loss, end])
@@ -68,9 +68,9 @@
 @pytest.mark.parametrize(
     ("runners", "sessions", "outcome"),
     [
-        pytest.param(0, LOST_RUNS, None, id="no_runner"),
-        pytest.param(1, LOST_RUNS - 2, None, id="too_few"),
-        pytest.param(1, LOST_RUNS - 1, GivenUp(LOST_SESSIONS), id="one_runner"),
+        pytest.param(0, MAX_LOST_RUNS, None, id="no_runner"),
+        pytest.param(1, MAX_LOST_RUNS - 2, None, id="too_few"),
+        pytest.param(1, MAX_LOST_RUNS - 1, GivenUp(LOST_SESSIONS), id="one_runner"),
     ],
 )
 def test_lost_sessions_count_beside_a_runner_that_was_seen_lost(
@@ -85,7 +85,7 @@
 
 def test_a_runner_that_is_only_silent_counts_for_nothing(job: JobRecord) -> None:
     retries = Retries()
-    for number in range(LOST_RUNNERS):
+    for number in range(MAX_LOST_RUNNERS):
         silent = RunnerSilent(LossId(f"i-{number}", number), [job.tasks[1].id], ["q"], [10])
         assert retries.learn(1.0, silent, "t") == []
     assert retries.outcome(5.0, job) is None
@@ -93,15 +93,15 @@
 
 def test_each_way_back_counts_against_one_bound(job: JobRecord) -> None:
     retries = Retries()
-    job.tasks[0].retries = MOST_RETRIES - 1
+    job.tasks[0].retries = MAX_RETRIES - 1
     assert retries.outcome(5.0, job) is None
-    job.tasks[0].retries = MOST_RETRIES
+    job.tasks[0].retries = MAX_RETRIES
     assert retries.outcome(5.0, job) == GivenUp(RETRIES)
 
 
 def test_a_runner_that_answers_again_gives_the_job_its_try_back(job: JobRecord) -> None:
     retries = Retries()
-    for number in range(LOST_RUNNERS):
+    for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, loss(number, job), "t")
     assert retries.learn(1.1, RunnerReturned(LossId("i-0", 0)), "t")
     assert retries.outcome(5.0, job) is None
@@ -111,14 +111,14 @@
     """A loss under an earlier run of it may be told late, as it happened behind a cut."""
     retries = Retries()
     job.tasks[1].phase = TaskPhase.DONE
-    for number in range(LOST_RUNNERS):
+    for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, loss(number, job), "t")
     assert retries.outcome(5.0, job) is None
 
 
 def test_the_line_names_the_runners_that_the_task_took_down(job: JobRecord) -> None:
     retries = Retries()
-    for number in range(LOST_RUNNERS):
+    for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, loss(number, job), "t")
     outcome = retries.outcome(5.0, job)
     assert outcome is not None
@@ -129,7 +129,7 @@
     assert line.fields["ended"] == ""
 
 
-@pytest.mark.parametrize("losses", range(LOST_RUNNERS, LOST_RUNNERS + 2))
+@pytest.mark.parametrize("losses", range(MAX_LOST_RUNNERS, MAX_LOST_RUNNERS + 2))
 @pytest.mark.parametrize(
     ("beside", "shared"),
     [
@@ -149,14 +149,14 @@
             other = RunnerLost(LossId(f"j-{number}-{each}", 1), [TaskId(key, 0, 0)])
             retries.learn(1.0 + number, other, "t")
         retries.learn(1.1 + number, loss(number, job), "t")
-    given_up = GivenUp(SILENT_RUNNERS) if losses - shared >= LOST_RUNNERS else None
+    given_up = GivenUp(SILENT_RUNNERS) if losses - shared >= MAX_LOST_RUNNERS else None
     assert retries.outcome(5.0, job) == given_up
 
 
 def test_a_loss_counts_no_longer_than_it_is_remembered(job: JobRecord) -> None:
     """Also where no further word comes."""
     retries = Retries()
-    for number in range(LOST_RUNNERS):
+    for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, loss(number, job), "t")
     assert retries.outcome(0.9 + KEEP_SECONDS, job) == GivenUp(SILENT_RUNNERS)
     assert retries.outcome(1.0 + KEEP_SECONDS, job) is None
@@ -167,7 +167,7 @@
     word: Word, kept: bool, job: JobRecord
 ) -> None:
     retries = Retries()
-    for number in range(LOST_RUNNERS):
+    for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, word(number, job), "t")
     assert retries.handed_in(50.0, job) is not None
     assert (retries.handed_in(70.0, job) is not None) == kept
