--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -56,9 +56,9 @@
     def _place_job(self, now: float, job: JobRecord, targets: list[TargetRecord]) -> list[Log]:
         eligible = self._placement.eligible(job, targets)
         chosen: dict[str, list[TaskRecord]] = {}
-        by_name = {target.name: target for target in able}
-        for task in job.waiting() if able else ():
-            target = self._placement.choose(now, job, task, able)
+        by_name = {target.name: target for target in eligible}
+        for task in job.waiting() if eligible else ():
+            target = self._placement.choose(now, job, task, eligible)
             if target is None:
                 break
             task.number += 1
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -93,13 +93,13 @@
     """What holds for all tasks of a job that are placed at one moment."""
 
     def __init__(
-        self, now: float, job: JobRecord, able: list[TargetRecord], sound: list[_Candidate]
+        self, now: float, job: JobRecord, eligible: list[TargetRecord], sound: list[_Candidate]
     ) -> None:
         self.now = now
         self.job = job
-        self.able = able
+        self.eligible = eligible
         self.sound = sound
-        self.probes = [target for target in able if target.on_probation]
+        self.probes = [target for target in eligible if target.on_probation]
         self.last: _Candidate | None = None
         self.sent = Counter(
             task.target for task in job.tasks if task.phase is not TaskPhase.WAITING
@@ -119,7 +119,7 @@
 
     def has_other(self, task: TaskRecord) -> bool:
         """Whether there is a target where the task has not failed."""
-        return any(target.name not in task.avoid for target in self.able)
+        return any(target.name not in task.avoid for target in self.eligible)
 
     def placed(self, at: float, candidate: _Candidate) -> None:
         """Note that a task of the job was sent there: others need not end before it does."""
@@ -157,10 +157,10 @@
     def eligible(self, job: JobRecord, targets: list[TargetRecord]) -> list[TargetRecord]:
         """Return the targets whose runner may run the job's tasks; none if none has room."""
         request = job.request
-        able = [t for t in targets if t.could_run(request.need)]
+        eligible = [t for t in targets if t.could_run(request.need)]
         if request.label:
-            able = [t for t in able if t.has_label(request.label)]
-        return able if any(request.need.fits(t.free) for t in able) else []
+            eligible = [t for t in eligible if t.has_label(request.label)]
+        return eligible if any(request.need.fits(t.free) for t in eligible) else []
 
     def locality_factor(self, job: JobRecord, target: TargetRecord) -> float:
         """Return how many times as long a task takes at a target, by where its data lies."""
@@ -189,10 +189,10 @@
         return bool(fit) and not any(need.fits(kind.free) for kind in fit)
 
     def choose(
-        self, now: float, job: JobRecord, task: TaskRecord, able: list[TargetRecord]
+        self, now: float, job: JobRecord, task: TaskRecord, eligible: list[TargetRecord]
     ) -> TargetRecord | None:
         """Return the target to send the task to, or None to hold it."""
-        plan = self._planned(now, job, able)
+        plan = self._planned(now, job, eligible)
         probe = self._probe(now, plan, task)
         if probe is not None:
             self._probed[probe.name] = now
@@ -213,16 +213,18 @@
 
     # What holds for a job.
 
-    def _planned(self, now: float, job: JobRecord, able: list[TargetRecord]) -> _Plan:
+    def _planned(self, now: float, job: JobRecord, eligible: list[TargetRecord]) -> _Plan:
         """Return the job's plan; between two tasks of it only the last one's target has changed."""
         plan = self._plan
-        if plan is None or plan.able is not able or plan.job is not job or plan.now != now:
+        if plan is None or plan.eligible is not eligible or plan.job is not job or plan.now != now:
             service = job.queue.service
             even = self._speeds.is_unproven(service) and self._rng.random() < COMPARING_SHARE
-            sound = [self._candidate(now, job, t, even=even) for t in able if not t.on_probation]
+            sound = [
+                self._candidate(now, job, t, even=even) for t in eligible if not t.on_probation
+            ]
             for candidate in sound:
                 candidate.look(job)
-            plan = self._plan = _Plan(now, job, able, sound)
+            plan = self._plan = _Plan(now, job, eligible, sound)
         elif plan.last is not None:
             plan.last.way = 0.0
             plan.last.look(job)
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -78,7 +78,7 @@
     asked = job()
     placement = Placement("hall", Random(1), 1.5, cold_overrun=1.5)
     eligible = placement.eligible(asked, [record_of(name) for name in names])
-    found = placement.choose(10.0 + after, asked, asked.tasks[0], able) if able else None
+    found = placement.choose(10.0 + after, asked, asked.tasks[0], eligible) if eligible else None
     assert (found.name if found else "") == expected
 
 
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -37,7 +37,7 @@
     """Return the name of the target that the job's first task goes to, or nothing."""
     placement = Placement("hall", Random(1), 1.5)
     eligible = placement.eligible(asked, list(targets))
-    found = placement.choose(now, asked, asked.tasks[0], able) if able else None
+    found = placement.choose(now, asked, asked.tasks[0], eligible) if eligible else None
     return found.name if found else ""
 
 
@@ -82,7 +82,7 @@
     eligible = placement.eligible(asked, [target("t1"), target("t2")])
     names = []
     for task in asked.tasks:
-        found = placement.choose(10.0, asked, task, able)
+        found = placement.choose(10.0, asked, task, eligible)
         if found is not None:
             task.target, task.phase = found.name, TaskPhase.PLACED
             found.reserve(asked.request.need)
@@ -303,7 +303,7 @@
     eligible = placement.eligible(asked, targets)
     names = set()
     for task in asked.tasks:
-        found = placement.choose(10.0, asked, task, able)
+        found = placement.choose(10.0, asked, task, eligible)
         assert found is not None
         found.reserve(asked.request.need)
         names.add(found.name)
@@ -316,7 +316,7 @@
 def chosen_far(now: float, asked: JobRecord, factor: float, *targets: TargetRecord) -> str:
     placement = Placement("hall", Random(1), factor)
     eligible = placement.eligible(asked, list(targets))
-    found = placement.choose(now, asked, asked.tasks[0], able) if able else None
+    found = placement.choose(now, asked, asked.tasks[0], eligible) if eligible else None
     return found.name if found else ""
 
 
