--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -305,7 +305,7 @@
 
 def withdraw_what_may_have_begun(patch: pytest.MonkeyPatch) -> None:
     """An entry takes any target that says nothing for one that has started nothing."""
-    patch.setattr(TargetRecord, "may_begin", lambda self, times, placed_at: False)
+    patch.setattr(TargetRecord, "may_have_started", lambda self, times, placed_at: False)
 
 
 @pytest.mark.parametrize(
