--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/answers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/answers.py
@@ -11,8 +11,8 @@
 
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.bounds import LeaseTimes
-from paddleshunt_core.leased.jobbook import JobBook
 from paddleshunt_core.leased.jobs import TaskPhase, TaskRecord
+from paddleshunt_core.leased.jobtable import JobTable
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import RunId, Stop
 
@@ -30,7 +30,7 @@
 class Answers:
     """The targets of one entry that are to confirm that they live."""
 
-    def __init__(self, times: LeaseTimes, jobs: JobBook) -> None:
+    def __init__(self, times: LeaseTimes, jobs: JobTable) -> None:
         self._times = times
         self._jobs = jobs
         self._asked: list[TargetRecord] = []
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -23,7 +23,6 @@
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.containment import Containment
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations, evacuation_note
-from paddleshunt_core.leased.jobbook import JobBook
 from paddleshunt_core.leased.jobs import (
     STALE_STEP,
     JobRecord,
@@ -32,6 +31,7 @@
     TaskRecord,
     new_job,
 )
+from paddleshunt_core.leased.jobtable import JobTable
 from paddleshunt_core.leased.lessons import Lessons
 from paddleshunt_core.leased.outcomes import (
     AnswerJob,
@@ -115,7 +115,7 @@
         )
         self._containment = Containment(times.hold)
         self._assigner = Assigner(self._placement, self._containment, self._speeds)
-        self._jobs = JobBook()
+        self._jobs = JobTable()
         self._targets: dict[str, TargetRecord] = {}
         self._lessons = Lessons(self._placement, self._speeds)
         self._wants = Wants()
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobbook.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobtable.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.jobs import JobRecord, TaskPhase, TaskRecord
 from paddleshunt_core.leased.wire import RunId
 
-MOST_REMEMBERED = 1024
+MAX_REMEMBERED_JOBS = 1024
 """Dropped jobs whose runs' numbers are remembered; a word on a run is late by a second at most.
 
 Some 150 KB; an entry drops a few hundred jobs a second.
@@ -15,7 +15,7 @@
 
 
 @final
-class JobBook:
+class JobTable:
     """All jobs held at one entry."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
     def drop(self, job: JobRecord) -> None:
         """Forget a job, but for the numbers of its last runs."""
         self._numbers[job.request.key] = [task.number for task in job.tasks]
-        if len(self._numbers) > MOST_REMEMBERED:
+        if len(self._numbers) > MAX_REMEMBERED_JOBS:
             del self._numbers[next(iter(self._numbers))]
         del self._by_caller[job.caller]
         del self._by_key[job.request.key]
--- a/testing/core/leased/test_jobbook.py
+++ b/testing/core/leased/test_jobtable.py
@@ -2,8 +2,8 @@
 
 import pytest
 from paddleshunt_core.leased.catalog import Queue
-from paddleshunt_core.leased.jobbook import MOST_REMEMBERED, JobBook
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, TaskPhase, new_job
+from paddleshunt_core.leased.jobtable import MAX_REMEMBERED_JOBS, JobTable
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.wire import RunId, TaskId
 
@@ -20,14 +20,14 @@
 
 
 @pytest.fixture
-def book(job: JobRecord) -> JobBook:
-    book = JobBook()
+def book(job: JobRecord) -> JobTable:
+    book = JobTable()
     book.add(job)
     return book
 
 
 def test_a_job_is_found_by_caller_and_key_until_it_is_dropped(
-    book: JobBook, job: JobRecord
+    book: JobTable, job: JobRecord
 ) -> None:
     assert book.of_caller(7) is book.of_key("job") is job
     book.drop(job)
@@ -36,13 +36,13 @@
 
 
 @pytest.mark.parametrize("index", [-1, -2, 2, 2**63, -(2**63)])
-def test_a_run_of_a_task_that_the_job_does_not_have_is_none(book: JobBook, index: int) -> None:
+def test_a_run_of_a_task_that_the_job_does_not_have_is_none(book: JobTable, index: int) -> None:
     run = RunId(TaskId("job", 0, index), 3)
     assert book.task(run, "t0") is None
     assert book.run_again([run], "t0", "lost") == []
 
 
-def test_a_job_that_is_handed_over_is_its_new_callers(book: JobBook, job: JobRecord) -> None:
+def test_a_job_that_is_handed_over_is_its_new_callers(book: JobTable, job: JobRecord) -> None:
     assert book.hand_over(job, 8) == 7
     assert book.of_caller(7) is None
     assert book.of_caller(8) is job
@@ -58,14 +58,14 @@
     ids=["an earlier run", "another target", "another job"],
 )
 def test_only_the_newest_run_at_its_own_target_names_a_task(
-    book: JobBook, job: JobRecord, run: RunId, target: str
+    book: JobTable, job: JobRecord, run: RunId, target: str
 ) -> None:
     assert book.task(RUN, "t0") is job.tasks[1]
     assert book.task(run, target) is None
 
 
 def test_tasks_that_are_held_wait_again_once_their_runs_are_over(
-    book: JobBook, job: JobRecord
+    book: JobTable, job: JobRecord
 ) -> None:
     book.hold([RUN], "t0")
     assert job.tasks[1].phase is TaskPhase.HELD
@@ -74,13 +74,13 @@
     assert (job.tasks[1].phase, job.tasks[1].ran) == (TaskPhase.WAITING, True)
 
 
-def test_a_task_that_is_done_does_not_wait_again(book: JobBook, job: JobRecord) -> None:
+def test_a_task_that_is_done_does_not_wait_again(book: JobTable, job: JobRecord) -> None:
     job.tasks[1].phase = TaskPhase.DONE
     assert book.run_again([RUN], "t0", "lease_lapsed") == []
     assert job.tasks[1].phase is TaskPhase.DONE
 
 
-def test_a_job_that_comes_again_goes_on_counting_its_runs(book: JobBook, job: JobRecord) -> None:
+def test_a_job_that_comes_again_goes_on_counting_its_runs(book: JobTable, job: JobRecord) -> None:
     """A late word on a run of the first try must not be taken for one on the second's."""
     book.drop(job)
     again = new_job(9, job.request, QUEUE, 2.0)
@@ -93,8 +93,8 @@
     assert book.task(RunId(RUN.task, 4), "t0") is task
 
 
-def test_no_more_dropped_jobs_are_remembered_than_the_limit(book: JobBook) -> None:
-    for number in range(MOST_REMEMBERED + 2):
+def test_no_more_dropped_jobs_are_remembered_than_the_limit(book: JobTable) -> None:
+    for number in range(MAX_REMEMBERED_JOBS + 2):
         request = JobRequest(f"j{number}", "spec", 1, Resources(1000, 64), 0.5, 4.0)
         other = new_job(100 + number, request, QUEUE, 1.0)
         book.add(other)
