--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -17,7 +17,6 @@
     refusal,
     room_note,
 )
-from paddleshunt_core.leased.answers import Answers
 from paddleshunt_core.leased.assigner import Assigner
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, HALL_PREFERENCE, LeaseTimes
 from paddleshunt_core.leased.catalog import Queue
@@ -33,6 +32,7 @@
 )
 from paddleshunt_core.leased.jobtable import JobTable
 from paddleshunt_core.leased.lessons import Lessons
+from paddleshunt_core.leased.livenesschecks import LivenessChecks
 from paddleshunt_core.leased.outcomes import (
     AnswerJob,
     BroadcastLoss,
@@ -119,7 +119,7 @@
         self._targets: dict[str, TargetRecord] = {}
         self._lessons = Lessons(self._placement, self._speeds)
         self._wants = Wants()
-        self._answers = Answers(times, self._jobs)
+        self._answers = LivenessChecks(times, self._jobs)
         self._evacuations = Evacuations()
         self._unplaced = False
         """Whether something was heard that may let a task be placed."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/answers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
@@ -16,18 +16,18 @@
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import RunId, Stop
 
-ANSWER_SECONDS = 0.03
+CONFIRMATION_SECONDS = 0.03
 """Seconds for which an idle target's first answer is awaited, beside twice what the last took.
 
 A round trip takes 1 to 3 ms; a target that is merely late loses nothing but this work.
 """
 
-MAX_ANSWER_SECONDS = 0.1
+MAX_CONFIRMATION_SECONDS = 0.1
 """Longest wait for such an answer, however long the last one took."""
 
 
 @final
-class Answers:
+class LivenessChecks:
     """The targets of one entry that are to confirm that they live."""
 
     def __init__(self, times: LeaseTimes, jobs: JobTable) -> None:
@@ -95,4 +95,4 @@
 
 
 def _overdue(asked: float, target: TargetRecord) -> float:
-    return asked + min(MAX_ANSWER_SECONDS, ANSWER_SECONDS + 2 * target.answered_in)
+    return asked + min(MAX_CONFIRMATION_SECONDS, CONFIRMATION_SECONDS + 2 * target.answered_in)
--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -18,9 +18,9 @@
     run_state_machine_as_test,
 )
 from leasedfleet import Fleet
-from paddleshunt_core.leased.answers import Answers
 from paddleshunt_core.leased.bounds import Bounds, LeaseTimes
 from paddleshunt_core.leased.entrylink import EntryLink
+from paddleshunt_core.leased.livenesschecks import LivenessChecks
 from paddleshunt_core.leased.outcomes import GivenUp
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
@@ -290,9 +290,9 @@
 
 def forget_to_withdraw(patch: pytest.MonkeyPatch) -> None:
     """An entry places elsewhere what a target did not answer for, and doesn't tell it."""
-    withdraw = Answers._withdraw
+    withdraw = LivenessChecks._withdraw
 
-    def without_a_word(self: Answers, now: float, target: object, asked: float) -> object:
+    def without_a_word(self: LivenessChecks, now: float, target: object, asked: float) -> object:
         session = target.session  # type: ignore[attr-defined]
         send = session.send
         session.send = lambda body: 0 if isinstance(body, Stop) else send(body)
@@ -300,7 +300,7 @@
         del session.send
         return logs
 
-    patch.setattr(Answers, "_withdraw", without_a_word)
+    patch.setattr(LivenessChecks, "_withdraw", without_a_word)
 
 
 def withdraw_what_may_have_begun(patch: pytest.MonkeyPatch) -> None:
--- a/testing/core/leased/test_answers.py
+++ b/testing/core/leased/test_livenesschecks.py
@@ -3,7 +3,7 @@
 import pytest
 from leasedfleet import STEP, Fleet
 from paddleshunt_core.events import Log
-from paddleshunt_core.leased.answers import ANSWER_SECONDS
+from paddleshunt_core.leased.livenesschecks import CONFIRMATION_SECONDS
 from paddleshunt_core.leased.outcomes import AnswerJob, Completed, GivenUp
 
 
@@ -46,7 +46,7 @@
     fleet.submit("e0", "job", count=1, length=0.2)
     for name in fleet.targets:
         fleet.cut(name, "e0")
-    fleet.run(ANSWER_SECONDS)
+    fleet.run(CONFIRMATION_SECONDS)
     assert sum(starts(fleet).values()) == 0
 
 
@@ -56,7 +56,7 @@
     caller = fleet.submit("e0", "job", count=1, length=0.2)
     dead = holder(fleet)
     fleet.freeze(dead)
-    fleet.run(ANSWER_SECONDS + 0.2 + 5 * STEP)
+    fleet.run(CONFIRMATION_SECONDS + 0.2 + 5 * STEP)
     assert fleet.answers[caller] == Completed()
     assert starts(fleet)[dead] == 0
     assert fleet.ends("task_returned") == ["job"]
@@ -85,7 +85,7 @@
     caller = fleet.submit("e0", "job", count=1, length=0.6)
     late = holder(fleet)
     fleet.cut("e0", late)
-    fleet.run(ANSWER_SECONDS + 3 * STEP)
+    fleet.run(CONFIRMATION_SECONDS + 3 * STEP)
     fleet.heal()
     fleet.run(0.4)
     assert starts(fleet)[late] == 0
@@ -99,7 +99,7 @@
     for name in fleet.targets:
         fleet.freeze(name)
     fleet.submit("e0", "job", count=1, length=0.2)
-    fleet.run(2 * (ANSWER_SECONDS + 3 * STEP))
+    fleet.run(2 * (CONFIRMATION_SECONDS + 3 * STEP))
     (job,) = fleet.dispatchers["e0"]._jobs.all()
     assert not job.begun
     assert job.tasks[0].retries == job.tasks[0].losses == 0
