--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetless.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targetless.py
@@ -6,14 +6,14 @@
 
 from typing import final
 
-GONE_SECONDS = 0.8
+UNREADY_AFTER_SECONDS = 0.8
 """Seconds without any target after which callers are sent elsewhere: targets dial anew in 0.25."""
 
-BACK_SECONDS = 1.0
+READY_AFTER_SECONDS = 1.0
 """Seconds with targets after which callers may come again: where a link is pressed, sessions open
 and end."""
 
-WORD_SECONDS = 10.0
+PEER_COUNT_SECONDS = 10.0
 """Seconds for which another entry's word that it has targets holds: it may come late as well."""
 
 
@@ -31,28 +31,28 @@
         self._others: dict[str, tuple[int, float]] = {}
         """By entry, how many targets it said it has, and when."""
 
-    def count(self, now: float, targets: int) -> None:
+    def record_own_count(self, now: float, targets: int) -> None:
         """Note how many targets are in session."""
         if not targets:
             if self._gone is None and self._had:
                 # Targets that did not stay were none.
-                stayed = now >= self._back + BACK_SECONDS
+                stayed = now >= self._back + READY_AFTER_SECONDS
                 self._gone = now if stayed else float("-inf")
             return
         if self._gone is not None:
             # A short loss is as good as none.
-            self._back = now if now > self._gone + GONE_SECONDS else self._back
+            self._back = now if now > self._gone + UNREADY_AFTER_SECONDS else self._back
             self._gone = None
         self._had = True
 
-    def told(self, now: float, entry: str, targets: int) -> None:
+    def record_peer_count(self, now: float, entry: str, targets: int) -> None:
         """Take another entry's word on how many targets it has."""
         self._others[entry] = (targets, now)
 
-    def sends_elsewhere(self, now: float) -> bool:
+    def should_be_unready(self, now: float) -> bool:
         """Whether callers had better go to another entry, and there is one with targets."""
-        gone = self._gone is not None and now > self._gone + GONE_SECONDS
-        if not gone and now >= self._back + BACK_SECONDS:
+        gone = self._gone is not None and now > self._gone + UNREADY_AFTER_SECONDS
+        if not gone and now >= self._back + READY_AFTER_SECONDS:
             return False
         said = self._others.values()
-        return any(targets and now < at + WORD_SECONDS for targets, at in said)
+        return any(targets and now < at + PEER_COUNT_SECONDS for targets, at in said)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -223,7 +223,7 @@
             return False
         if self._is_turning_away(self._now()):
             return False
-        if self._targetless.sends_elsewhere(self._now()):
+        if self._targetless.should_be_unready(self._now()):
             return False
         return bool(self._links) or self._now() > self._began + LONELY_SECONDS
 
@@ -382,7 +382,7 @@
 
     def told_targets(self, targets: int, source: str) -> None:
         """Take another entry's word on how many targets it has."""
-        self._targetless.told(self._now(), source, targets)
+        self._targetless.record_peer_count(self._now(), source, targets)
 
     # The operator's word.
 
@@ -463,7 +463,7 @@
         while True:
             self._meter.sample_when_due(self._now())
             self._follow_pressure()
-            self._targetless.count(self._now(), len(self._links))
+            self._targetless.record_own_count(self._now(), len(self._links))
             self._act(self._dispatcher.tick(self._now()))
             self._flush()
             if self._dispatcher.has_new_jobs:
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.linkpressure import LinkSample, PressureLevel
 from paddleshunt_core.leased.outcomes import JobOutcome, Refused
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.targetless import GONE_SECONDS
+from paddleshunt_core.leased.targetless import UNREADY_AFTER_SECONDS
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_node.aio import entryservice, linkmeter
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
@@ -436,7 +436,7 @@
         await asyncio.sleep(0.2)
         assert await entry.ready() == 200
         links.clear()
-        await asyncio.sleep(GONE_SECONDS + 0.3)
+        await asyncio.sleep(UNREADY_AFTER_SECONDS + 0.3)
         assert await entry.ready() == status
 
     with_entries(monkeypatch, 1, scene)
