--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -43,7 +43,7 @@
         self._suspected: dict[str, float] = {}
         self._lives: dict[str, deque[str]] = {}
 
-    def told(self, teller: str, entries: list[EntryAddress]) -> None:
+    def replace_known(self, teller: str, entries: list[EntryAddress]) -> None:
         """Take the entries that one entry knows to live; they replace what it said before.
 
         An entry that has started anew since it was suspected is not passed over any longer.
@@ -51,7 +51,7 @@
         self._told[teller] = {}
         self.changed(teller, entries, [])
 
-    def changed(self, teller: str, joined: list[EntryAddress], gone: list[str]) -> None:
+    def update_known(self, teller: str, joined: list[EntryAddress], gone: list[str]) -> None:
         """Take which entries have joined or gone since one entry told all."""
         told = self._told.setdefault(teller, {})
         for name in gone:
@@ -91,7 +91,7 @@
         }
         return [usable[name] for name in self._first(list(usable))]
 
-    def kept(self, names: set[str]) -> set[str]:
+    def sessions_to_keep(self, names: set[str]) -> set[str]:
         """Return the entries to go on with among those that a session is open with."""
         return set(self._first(sorted(names, key=self._rank_of)))
 
@@ -103,7 +103,7 @@
         own = near[: self._sessions - reach]
         return [*own, *far[: self._sessions - len(own)]]
 
-    def knows(self) -> bool:
+    def has_entries(self) -> bool:
         """Whether any entry has told of the others."""
         return bool(self._told)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -386,11 +386,11 @@
         for body in frame.bodies:
             if isinstance(body, Entries):
                 entries = readable(body.entries, link.peer, self._around.refuse)
-                self._choice.told(link.peer, entries)
+                self._choice.replace_known(link.peer, entries)
                 self._note_addresses(now, entries)
             elif isinstance(body, EntryChanges):
                 joined = readable(body.joined, link.peer, self._around.refuse)
-                self._choice.changed(link.peer, joined, body.gone)
+                self._choice.update_known(link.peer, joined, body.gone)
                 self._note_addresses(now, joined)
         self._act(self._worker.heard(now, link.peer, frame))
         if self._worker.session(link.peer) is None:
@@ -419,7 +419,7 @@
         if not self._links:
             return True
         if not name:
-            return not self._choice.knows()
+            return not self._choice.has_entries()
         return any(entry.name == name for entry in self._wanted())
 
     def _dial_failed(self, address: str) -> None:
@@ -436,7 +436,7 @@
         An idle one without a connection is no better one: its entry may have ended.
         """
         open_now = self._worker.session_names() & self._links.keys() | self._worker.held_names()
-        self._act(self._worker.retire(now, self._choice.kept(open_now)))
+        self._act(self._worker.retire(now, self._choice.sessions_to_keep(open_now)))
 
     def _may_greet(self, name: str) -> bool:
         return self._worker.session(name) is not None or self._worker.may_open(name)
@@ -457,7 +457,7 @@
         except StoreUnavailableError as problem:
             self._around.event("store_unavailable", reason=str(problem))
             return
-        self._choice.told(STORE, entries)
+        self._choice.replace_known(STORE, entries)
         self._names.update({entry.address: entry.name for entry in entries})
         now = self._now()
         for entry in self._wanted():
--- a/testing/core/leased/test_entrychoice.py
+++ b/testing/core/leased/test_entrychoice.py
@@ -20,25 +20,25 @@
 
 def choice_of(target: str) -> EntryChoice:
     choice = EntryChoice(target)
-    choice.told("e0", ENTRIES)
+    choice.replace_known("e0", ENTRIES)
     return choice
 
 
 def test_nothing_is_known_at_first() -> None:
     choice = EntryChoice("t1")
-    assert not choice.knows()
+    assert not choice.has_entries()
     assert names(choice) == []
 
 
 def test_all_entries_are_wanted_if_they_are_few() -> None:
     choice = EntryChoice("t1")
-    choice.told("e0", ENTRIES[:3])
+    choice.replace_known("e0", ENTRIES[:3])
     assert sorted(names(choice)) == ["e0", "e1", "e2"]
 
 
 def test_a_targets_choice_does_not_depend_on_the_order_it_was_told() -> None:
     choice = EntryChoice("t1")
-    choice.told("e0", ENTRIES[::-1])
+    choice.replace_known("e0", ENTRIES[::-1])
     assert names(choice) == names(choice_of("t1"))
     assert len(names(choice)) == SESSIONS
 
@@ -53,7 +53,7 @@
 def test_an_entry_that_ends_moves_only_its_own_sessions() -> None:
     choice = choice_of("t1")
     before = names(choice)
-    choice.told("e0", [entry for entry in ENTRIES if entry.name != before[1]])
+    choice.replace_known("e0", [entry for entry in ENTRIES if entry.name != before[1]])
     after = names(choice)
     assert after[:-1] == [before[0], *before[2:]]
     assert len(after) == SESSIONS
@@ -76,35 +76,35 @@
 
 def test_what_an_entry_told_that_is_not_linked_any_more_does_not_count() -> None:
     choice = choice_of("t1")
-    choice.told("e1", ENTRIES[1:3])
+    choice.replace_known("e1", ENTRIES[1:3])
     assert sorted(names(choice, linked=frozenset({"e1"}))) == ["e1", "e2"]
 
 
 def test_a_suspected_entry_that_has_started_anew_is_wanted_at_once() -> None:
     choice = EntryChoice("t1")
-    choice.told("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
+    choice.replace_known("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
     choice.suspect(1.0, "e1")
-    choice.told("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
+    choice.replace_known("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
     assert names(choice, 1.1) == []
-    choice.told("e0", [EntryAddress("e1", "10.0.0.1:7720", "second")])
+    choice.replace_known("e0", [EntryAddress("e1", "10.0.0.1:7720", "second")])
     assert names(choice, 1.1) == ["e1"]
 
 
 def test_word_of_a_life_that_has_ended_clears_no_suspicion() -> None:
     choice = EntryChoice("t1")
-    choice.told("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
-    choice.told("e2", [EntryAddress("e1", "10.0.0.1:7720", "second")])
+    choice.replace_known("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
+    choice.replace_known("e2", [EntryAddress("e1", "10.0.0.1:7720", "second")])
     choice.suspect(1.0, "e1")
-    choice.told("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
+    choice.replace_known("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
     assert names(choice, 1.1) == []
 
 
 def test_changes_are_added_to_what_a_teller_has_told() -> None:
     choice = EntryChoice("t1")
-    choice.told("e0", ENTRIES[:3])
-    choice.changed("e0", [ENTRIES[3]], ["e1"])
+    choice.replace_known("e0", ENTRIES[:3])
+    choice.update_known("e0", [ENTRIES[3]], ["e1"])
     assert sorted(names(choice)) == ["e0", "e2", "e3"]
-    choice.changed("e2", [ENTRIES[1]], [])
+    choice.update_known("e2", [ENTRIES[1]], [])
     assert sorted(names(choice, linked=frozenset({"e0"}))) == ["e0", "e2", "e3"]
 
 
@@ -112,8 +112,8 @@
     choice = choice_of("t1")
     wanted = names(choice)
     others = {entry.name for entry in ENTRIES} - set(wanted)
-    assert choice.kept({*wanted, *others}) == set(wanted)
-    assert choice.kept(others) == others
+    assert choice.sessions_to_keep({*wanted, *others}) == set(wanted)
+    assert choice.sessions_to_keep(others) == others
 
 
 def in_halls(target: str, hall: str, entries: dict[str, int]) -> EntryChoice:
@@ -124,7 +124,7 @@
         for index, (place, count) in enumerate(entries.items())
         for n in range(count)
     ]
-    choice.told("e0", addresses)
+    choice.replace_known("e0", addresses)
     return choice
 
 
@@ -164,4 +164,4 @@
     choice = in_halls("t1", "a", {"a": 20, "b": 20})
     wanted = set(names(choice))
     every = {f"{hall}-{n}" for hall in "ab" for n in range(20)}
-    assert choice.kept(every) == wanted
+    assert choice.sessions_to_keep(every) == wanted
