--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogspread.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogspread.py
@@ -18,10 +18,10 @@
 The store answers a watch in milliseconds; entries that it turns away don't all ask at once.
 """
 
-CONFIRMATION_SECONDS = 0.4
+ANSWER_SECONDS = 0.4
 """Seconds after which another entry is asked, at first; with each question twice as long."""
 
-MAX_CONFIRMATION_SECONDS = 3.2
+MAX_ANSWER_SECONDS = 3.2
 """The longest such time."""
 
 LINK_MBPS = 25.0
@@ -63,7 +63,7 @@
         self._ask_at: float | None = None
         self._asked: set[str] = set()
         """Peers that were asked since the last configuration was adopted."""
-        self._patience = CONFIRMATION_SECONDS
+        self._patience = ANSWER_SECONDS
         self._waiting: deque[str] = deque()
         """Peers that have asked, the first first."""
         self._free_at = 0.0
@@ -73,7 +73,7 @@
         """Note that a version is in force here."""
         self._version = version
         self._asked.clear()
-        self._patience = CONFIRMATION_SECONDS
+        self._patience = ANSWER_SECONDS
         if not self._newer():
             self._ask_at = None
 
@@ -131,7 +131,7 @@
         peer = self._rng.choice(fresh or newer)
         self._asked.add(peer)
         self._ask_at = now + self._patience
-        self._patience = min(MAX_CONFIRMATION_SECONDS, 2 * self._patience)
+        self._patience = min(MAX_ANSWER_SECONDS, 2 * self._patience)
         return [AskFor(peer)]
 
     def _newer(self) -> list[str]:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -49,7 +49,7 @@
         An entry that has started anew since it was suspected is not passed over any longer.
         """
         self._told[teller] = {}
-        self.changed(teller, entries, [])
+        self.update_known(teller, entries, [])
 
     def update_known(self, teller: str, joined: list[EntryAddress], gone: list[str]) -> None:
         """Take which entries have joined or gone since one entry told all."""
--- a/testing/core/leased/test_catalogspread.py
+++ b/testing/core/leased/test_catalogspread.py
@@ -7,11 +7,11 @@
 
 import pytest
 from paddleshunt_core.leased.catalogspread import (
+    ANSWER_SECONDS,
     ASK_SECONDS,
     BYTES_A_MEGABIT,
-    CONFIRMATION_SECONDS,
     LINK_SHARE,
-    MAX_CONFIRMATION_SECONDS,
+    MAX_ANSWER_SECONDS,
     AskFor,
     CatalogSpread,
     HandOut,
@@ -173,9 +173,7 @@
         spread.told(now, "e1", 2)
         asked += [now for step in spread.act(now) if isinstance(step, AskFor)]
     gaps = [later - sooner for sooner, later in pairwise(asked)]
-    expected = [
-        min(MAX_CONFIRMATION_SECONDS, CONFIRMATION_SECONDS * 2**n) for n in range(len(gaps))
-    ]
+    expected = [min(MAX_ANSWER_SECONDS, ANSWER_SECONDS * 2**n) for n in range(len(gaps))]
     assert gaps == pytest.approx(expected, abs=1 / 32)
 
 
