--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
@@ -1,8 +1,8 @@
-"""Whether an entry takes a job: it refuses one that can't end in time, or that has no room.
+"""Admission control: an entry refuses jobs that can't end in time or for which capacity is short.
 
-How long a job's tasks take is only estimated, and so is when its caller sent it first. By these a
-job may seem to be late already. That decides where room is scarce: others that are in time had to
-wait for it. Where room is free nobody has, so only what is sure decides.
+The length of a job's tasks and the time when its caller first sent it are estimates, by which a job
+may seem late already. Estimates decide only while capacity is short, as a late job would then delay
+others. A job whose tasks fit at once is refused only if it can't end before its deadline.
 """
 
 from collections.abc import Iterable
@@ -14,48 +14,50 @@
 from paddleshunt_core.leased.targets import TargetRecord
 
 NO_TARGET_WAIT = 0.1
-"""Seconds a job is expected to wait for a target when none is known."""
+"""Expected wait in seconds when no target is large enough for a job."""
 
 RETRY_SECONDS = 1.0
-"""When a refused caller is told to come back, if nothing better is known."""
+"""Minimum seconds after which a refused caller is asked to retry."""
 
-SHORTEST = 0.4
-"""Part of its expected length that a task takes at the least."""
+MIN_LENGTH_FACTOR = 0.4
+"""Part of its expected length that a task takes at least."""
 
 
 def refusal(
-    now: float, job: JobRecord, wait: float, last_start: float, *, has_room: bool
+    now: float, job: JobRecord, wait: float, last_start: float, *, has_capacity: bool
 ) -> Refused | None:
-    """Return why a job is refused at once, if it is; it would wait for `wait` seconds.
+    """Return the refusal of a job that would wait for `wait` seconds; None to admit it.
 
-    `last_start` is when it must start to be worth a place among others.
+    `last_start` is the latest start of a job that has to wait for capacity.
     """
-    if now + SHORTEST * job.length > job.expires:
+    if now + MIN_LENGTH_FACTOR * job.length > job.expires:
         return Refused("too_late", RETRY_SECONDS)
-    if not has_room and now + wait > last_start:
+    if not has_capacity and now + wait > last_start:
         return Refused("no_room", max(RETRY_SECONDS, wait))
     return None
 
 
-def has_room(job: JobRecord, usable: Iterable[TargetRecord]) -> bool:
-    """Whether a task of the job can start at once, as far as is known."""
+def has_capacity(job: JobRecord, usable: Iterable[TargetRecord]) -> bool:
+    """Whether a task of the job fits a target now, as far as is known."""
     return any(job.request.need.fits(target.free) for target in usable)
 
 
 def expected_wait(
     job: JobRecord, usable: Iterable[TargetRecord], held: Iterable[JobRecord]
 ) -> float:
-    """Return how many seconds the job's tasks would wait for room, behind the jobs `held`.
+    """Return how many seconds the job's tasks would wait for capacity, behind the jobs `held`.
 
-    Without a target that is large enough the answer is a guess: one may be found in a moment.
+    Without a target that is large enough, return `NO_TARGET_WAIT`: one may connect soon.
     """
-    able = [target for target in usable if target.could_run(job.request.need)]
-    if not able:
+    eligible = [target for target in usable if target.could_run(job.request.need)]
+    if not eligible:
         return NO_TARGET_WAIT
-    if has_room(job, able):
+    if has_capacity(job, eligible):
         return 0.0
-    usual = sum(target.kind_factor for target in able) / len(able)
-    capacity = sum(t.report.capacity.processor / t.kind_factor * usual for t in able if t.report)
+    typical = sum(target.kind_factor for target in eligible) / len(eligible)
+    capacity = sum(
+        t.report.capacity.processor / t.kind_factor * typical for t in eligible if t.report
+    )
     ahead = sum(
         other.request.need.processor * other.length * len(other.waiting())
         for other in held
@@ -64,16 +66,16 @@
     return ahead / max(1, capacity)
 
 
-def room_note(now: float, job: JobRecord, wait: float, room: RoomNow) -> Log:
-    """Return the line that says on what knowledge of room a job is refused."""
-    usable = room.usable(job.queue.service)
+def capacity_note(now: float, job: JobRecord, wait: float, snapshot: RoomNow) -> Log:
+    """Return the log line with the known capacity on which a job's refusal is based."""
+    usable = snapshot.usable(job.queue.service)
     fields: dict[str, str | int | float] = {
         "waited_ms": round((now - job.arrived) * 1000),
         "slack_ms": round((job.start_by - now) * 1000),
         "expected_wait_ms": round(wait * 1000),
         "need": job.request.need.processor,
         "most_free": max((t.free.processor for t in usable), default=0),
-        "targets": len(room.known(job.queue.service)),
+        "targets": len(snapshot.known(job.queue.service)),
         "usable": len(usable),
         "oldest_report_ms": round(max((now - t.reported_at for t in usable), default=0) * 1000),
     }
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -1,4 +1,4 @@
-"""Sends the tasks that wait to targets with room, the most urgent jobs' first."""
+"""Assigns waiting tasks to targets with free resources, most urgent jobs first."""
 
 from collections.abc import Iterable
 from typing import final
@@ -15,19 +15,19 @@
 
 @final
 class Assigner:
-    """Assigns tasks by a `Placement`."""
+    """Assigns tasks to the targets that a `Placement` chooses."""
 
     def __init__(self, placement: Placement, containment: Containment, speeds: Speeds) -> None:
         self._placement = placement
         self._containment = containment
         self._speeds = speeds
         self.heads: dict[str, JobRecord] = {}
-        """By service, the first job in the order of starts that waits for room."""
+        """By service, the most urgent job that still waits for free resources."""
         self.assigned: list[TargetRecord] = []
-        """Targets that were sent tasks by the last call of `place`."""
+        """Targets that the last call of `place` assigned tasks to."""
 
-    def place(self, now: float, jobs: Iterable[JobRecord], room: RoomNow) -> list[Log]:
-        """Send what has room; messages lie in the targets' sessions then."""
+    def place(self, now: float, jobs: Iterable[JobRecord], snapshot: RoomNow) -> list[Log]:
+        """Place the tasks that fit; queue the assignments in the targets' sessions."""
         self.heads.clear()
         self.assigned.clear()
         waiting = [job for job in jobs if job.waiting()]
@@ -35,23 +35,25 @@
         logs: list[Log] = []
         for job in waiting:
             service = job.queue.service
-            if self._may_place(now, job, room):
-                targets = self._containment.targets(job, room.usable(service))
+            if self._may_place(now, job, snapshot):
+                targets = self._containment.targets(job, snapshot.usable(service))
                 logs += self._place_job(now, job, targets)
                 if job.waiting() and self._containment.may_go_elsewhere(job):
-                    logs += self._place_job(now, job, room.usable(service))
-            # A confined job is no head: most targets that were told would offer room in vain.
+                    logs += self._place_job(now, job, snapshot.usable(service))
+            # A confined job is no head: most targets would offer it resources that it can't use.
             confined = self._containment.is_confined(job.queue)
             if service not in self.heads and job.waiting() and not confined:
                 self.heads[service] = job
         return logs
 
-    def _may_place(self, now: float, job: JobRecord, room: RoomNow) -> bool:
-        """Whether it is worth looking for targets for a job now."""
-        if not room.may_have(job.queue.service, job.request.need) or self._containment.holds(job):
+    def _may_place(self, now: float, job: JobRecord, snapshot: RoomNow) -> bool:
+        """Whether a job may have a target now, checked without visiting each target."""
+        if not snapshot.may_have(job.queue.service, job.request.need) or self._containment.holds(
+            job
+        ):
             return False
         confined = self._containment.is_confined(job.queue)
-        return confined or not self._placement.awaits_kind(now, job, room)
+        return confined or not self._placement.should_wait_for_kind(now, job, snapshot)
 
     def _place_job(self, now: float, job: JobRecord, targets: list[TargetRecord]) -> list[Log]:
         eligible = self._placement.eligible(job, targets)
@@ -65,7 +67,7 @@
             task.phase = TaskPhase.PLACED
             task.target = target.name
             task.placed_at = now
-            target.place(now, task.run)
+            target.record_run(now, task.run)
             target.reserve(job.request.need)
             chosen.setdefault(target.name, []).append(task)
         self.assigned += [by_name[name] for name in chosen]
@@ -76,10 +78,11 @@
 def _send(
     now: float, job: JobRecord, target: TargetRecord, tasks: list[TaskRecord], typical: float
 ) -> Log:
-    """Send tasks; a target judges its runner by the estimate, so a slow kind is given more time.
+    """Queue an assignment of tasks, and return its log line.
 
-    A fast one is not given less: nothing is learned from a runner that counts as sick, so a factor
-    that is wrong would stay.
+    A target judges its runner's health by the estimate, so the estimate is raised for a slow kind
+    of host. It is not lowered for a fast one: a wrong factor would make the runner count as sick,
+    and would then never be corrected, as nothing is learned from sick runners.
     """
     assert target.session is not None  # noqa: S101
     request = job.request
@@ -94,7 +97,7 @@
         queue=job.queue.name,
     )
     number = target.session.send(message)
-    target.assigned(number, request.need, len(tasks))
+    target.record_assignment(number, request.need, len(tasks))
     return note(
         "job_placed",
         request.key,
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -1,10 +1,9 @@
-"""Which entries a target holds sessions with: a few of those that live, by rendezvous hashing.
+"""Selects the entries that a target holds sessions with, by rendezvous hashing.
 
-Each target ranks the entries by a hash of both names and holds a session with the first few that
-it can reach, those of its own data hall before others: bytes between halls are dear. Some sessions
-are kept for other halls, whose entries may have too few targets of their own. So each entry gets an
-even share of the targets, each target is shared by several entries, and one entry's end moves only
-the sessions that it had.
+Each target ranks the live entries by a hash of both names and holds sessions with the first few
+that it can reach. Entries in its own data hall come first, as traffic between halls is expensive; a
+few sessions are reserved for other halls, which may have too few targets of their own. Each entry
+gets an even share of the targets, and the end of an entry moves only its own sessions.
 """
 
 from collections import deque
@@ -14,104 +13,105 @@
 from paddleshunt_core.leased.wire import EntryAddress
 
 SESSIONS = 8
-"""Entries that a target holds a session with, if there are as many."""
+"""Maximum number of entries that a target holds sessions with."""
 
 OTHER_HALLS = 2
-"""Sessions of these that are for entries of other data halls, if there are any."""
+"""Number of these sessions that are reserved for entries of other data halls, if there are any."""
 
 SUSPECT_SECONDS = 2.0
-"""Seconds for which an entry that could not be reached is passed over."""
+"""Seconds for which an entry that could not be reached is skipped."""
 
-LIVES = 4
-"""Lives of one entry that are remembered: tellers may name an ended one for a second or two."""
+MAX_INCARNATIONS = 4
+"""Number of incarnations remembered per entry, to recognize late reports of ended ones."""
 
 
 @final
 class EntryChoice:
-    """What one target knows of the entries, and which of them it wants."""
+    """The entries that one target knows of, and its selection."""
 
     def __init__(self, target: str, hall: str = "", sessions: int = SESSIONS) -> None:
         self._target = target
         self._hall = hall
         self._near: set[str] = set()
-        """Entries of the target's own data hall."""
+        """Names of the entries in the target's own data hall."""
         self._sessions = sessions
-        self._told: dict[str, dict[str, EntryAddress]] = {}
+        self._known: dict[str, dict[str, EntryAddress]] = {}
+        """The live entries by name, as reported by each source."""
         self._ranks: dict[str, int] = {}
         self._ranked: tuple[set[str], list[EntryAddress]] | None = None
-        """What a set of tellers knows, in the order of choice; None after a change."""
-        self._suspected: dict[str, float] = {}
-        self._lives: dict[str, deque[str]] = {}
+        """A set of sources and the entries that they reported, by rank; None after a change."""
+        self._suspected_until: dict[str, float] = {}
+        self._incarnations: dict[str, deque[str]] = {}
 
-    def replace_known(self, teller: str, entries: list[EntryAddress]) -> None:
-        """Take the entries that one entry knows to live; they replace what it said before.
+    def replace_known(self, source: str, entries: list[EntryAddress]) -> None:
+        """Replace the live entries that one source has reported.
 
-        An entry that has started anew since it was suspected is not passed over any longer.
+        A suspected entry that has restarted is no longer suspected.
         """
-        self._told[teller] = {}
-        self.update_known(teller, entries, [])
+        self._known[source] = {}
+        self.update_known(source, entries, [])
 
-    def update_known(self, teller: str, joined: list[EntryAddress], gone: list[str]) -> None:
-        """Take which entries have joined or gone since one entry told all."""
-        told = self._told.setdefault(teller, {})
+    def update_known(self, source: str, joined: list[EntryAddress], gone: list[str]) -> None:
+        """Apply changes to the live entries that one source has reported."""
+        known = self._known.setdefault(source, {})
         for name in gone:
-            told.pop(name, None)
+            known.pop(name, None)
         for entry in joined:
-            told[entry.name] = entry
+            known[entry.name] = entry
             if entry.hall and entry.hall == self._hall:
                 self._near.add(entry.name)
             else:
                 self._near.discard(entry.name)
-            if self._has_new_life(entry):
-                self._suspected.pop(entry.name, None)
+            if self._is_new_incarnation(entry):
+                self._suspected_until.pop(entry.name, None)
         self._ranked = None
 
     def suspect(self, now: float, name: str) -> None:
-        """Pass an entry over for a while: it can't be reached, or its session ended.
+        """Skip an entry for `SUSPECT_SECONDS`: it can't be reached, or its session ended.
 
-        One that is linked again is not passed over: the silence may have been this process's own.
+        It is not skipped once it is connected again.
         """
-        self._suspected[name] = now + SUSPECT_SECONDS
+        self._suspected_until[name] = now + SUSPECT_SECONDS
 
     def wanted(self, now: float, linked: set[str]) -> list[EntryAddress]:
-        """Return the entries to hold sessions with, the first choice first.
+        """Return the entries to hold sessions with, in order of preference.
 
-        Only what the `linked` entries have told counts, as long as there is one.
+        Only reports of the connected (`linked`) entries count, unless there are none.
         """
-        tellers = linked & self._told.keys() or set(self._told)
-        if self._ranked is None or self._ranked[0] != tellers:
+        sources = linked & self._known.keys() or set(self._known)
+        if self._ranked is None or self._ranked[0] != sources:
             known: dict[str, EntryAddress] = {}
-            for teller in tellers:
-                known.update(self._told[teller])
-            self._ranked = (tellers, sorted(known.values(), key=self._rank))
+            for source in sources:
+                known.update(self._known[source])
+            self._ranked = (sources, sorted(known.values(), key=self._rank))
         usable = {
             entry.name: entry
             for entry in self._ranked[1]
-            if entry.name in linked or now >= self._suspected.get(entry.name, 0.0)
+            if entry.name in linked or now >= self._suspected_until.get(entry.name, 0.0)
         }
-        return [usable[name] for name in self._first(list(usable))]
+        return [usable[name] for name in self._select(list(usable))]
 
     def sessions_to_keep(self, names: set[str]) -> set[str]:
-        """Return the entries to go on with among those that a session is open with."""
-        return set(self._first(sorted(names, key=self._rank_of)))
+        """Return which of the open sessions' entries to keep sessions with."""
+        return set(self._select(sorted(names, key=self._rank_of)))
 
-    def _first(self, ranked: list[str]) -> list[str]:
-        """Return the names to hold sessions with, of the own hall first, but not of it alone."""
+    def _select(self, ranked: list[str]) -> list[str]:
+        """Return the names to hold sessions with; own hall first, a few reserved for others."""
         near = [name for name in ranked if name in self._near]
         far = [name for name in ranked if name not in self._near]
-        reach = min(OTHER_HALLS, len(far)) if near else 0
-        own = near[: self._sessions - reach]
+        reserved = min(OTHER_HALLS, len(far)) if near else 0
+        own = near[: self._sessions - reserved]
         return [*own, *far[: self._sessions - len(own)]]
 
     def has_entries(self) -> bool:
-        """Whether any entry has told of the others."""
-        return bool(self._told)
+        """Whether any source has reported its entries."""
+        return bool(self._known)
 
-    def _has_new_life(self, entry: EntryAddress) -> bool:
-        lives = self._lives.setdefault(entry.name, deque(maxlen=LIVES))
-        if not entry.life or entry.life in lives:
+    def _is_new_incarnation(self, entry: EntryAddress) -> bool:
+        seen = self._incarnations.setdefault(entry.name, deque(maxlen=MAX_INCARNATIONS))
+        if not entry.life or entry.life in seen:
             return False
-        lives.append(entry.life)
+        seen.append(entry.life)
         return True
 
     def _rank(self, entry: EntryAddress) -> int:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -1,4 +1,4 @@
-"""Records of the jobs that an entry is home of."""
+"""Records of the jobs that an entry owns, and of their tasks."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -11,34 +11,31 @@
 from paddleshunt_core.leased.wire import RunId, TaskId
 
 STALE_STEP = 16
-"""By how much a run's number rises when a runner knows a later run of the task."""
+"""Increment of a task's run number after a runner has refused a run as stale."""
 
 PRIORITY_SECONDS = 0.15
-"""Head start in the order of starts that a queue has for each step of priority."""
+"""Seconds by which each priority level shifts a queue's jobs in the order of starts."""
 
 LATE_SECONDS = 60.0
-"""By how much a job goes behind that has not begun and can't end in time any more."""
+"""Seconds by which a late job that has not started is moved back in the order of starts."""
 
 ESTIMATE_ERROR = 0.25
-"""Part of its estimate by which a job's start may be late, and it may yet end in time."""
+"""Part of its expected length by which a job may start late and still be tried."""
 
 OVERHEAD_SECONDS = 0.02
-"""Time of a run besides its work, the same on any host: messages, and the look at its end."""
+"""Seconds that a run takes beyond its work on any host: messages, and polling for its end."""
 
 USEFUL_OBJECTIVES = 3.0
-"""How many times its objective a job may take and yet be of use, if less, to its caller.
-
-The users count an answer as late up to this, and as worth nothing beyond it.
-"""
+"""Multiple of its objective within which a job's answer, though late, is of use to its caller."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """A job as its caller hands it in: one step of `count` equal tasks.
+    """A job as submitted by its caller: one step of `count` equal tasks.
 
-    `deadline` is how long the caller waits, in seconds; `estimate` a rough guess of a task's
-    length in seconds.
+    `deadline` is how long the caller waits, in seconds; `estimate` is the caller's rough estimate
+    of a task's length in seconds.
     """
 
     key: str
@@ -48,15 +45,15 @@
     estimate: float
     deadline: float
     rack: str = ""
-    """Rack where the data lies; elsewhere the tasks take longer."""
+    """Rack that stores the data; tasks take longer elsewhere. Empty for none."""
     label: str = ""
-    """Label that a runner's host must have; empty for none."""
+    """Label that a runner's host must have. Empty for none."""
     spread: int = 0
-    """How many of the tasks one runner may have at most; 0 for any number."""
+    """Maximum number of the tasks on one runner; 0 for no limit."""
 
 
 class TaskPhase(Enum):
-    """Where a task is. HELD: its target fell silent, and it may still run there."""
+    """State of a task. HELD: its target's session has ended, and it may still run there."""
 
     WAITING = auto()
     PLACED = auto()
@@ -67,27 +64,27 @@
 @final
 @dataclass(slots=True)
 class TaskRecord:
-    """One task: where it is, and how often it has been placed and has failed."""
+    """One task: its state, its newest run, and its failures so far."""
 
     id: TaskId
     number: int = 0
     phase: TaskPhase = TaskPhase.WAITING
     target: str = ""
     placed_at: float = 0.0
-    """When its newest run was sent to its target."""
+    """Steady time at which its newest run was sent to its target."""
     failures: int = 0
     losses: int = 0
-    """Runs of it that were lost with their target or its session: nobody told why."""
+    """Number of its runs that were lost with their target or its session, for unknown reasons."""
     retries: int = 0
-    """Runs of it that may have begun and did not end well, for whatever reason."""
+    """Number of its runs that may have started and did not succeed, for any reason."""
     ran: bool = False
     """Whether an earlier run of it may have started."""
     avoid: set[str] = field(default_factory=set)
-    """Targets where it failed or stood still."""
+    """Targets where it failed, was lost or made no progress."""
     work: float = 0.0
-    """Seconds that its run that ended well worked, were its data near; 0 if they say nothing."""
+    """Seconds of work of its successful run, corrected for remote data; 0 if not usable."""
     ran_on: RunnerLife | None = None
-    """The life of the runner where that was."""
+    """The incarnation of the runner of that run."""
 
     @property
     def run(self) -> RunId:
@@ -98,7 +95,7 @@
 @final
 @dataclass(slots=True)
 class JobRecord:
-    """One job and its caller. Times are steady seconds."""
+    """One job and its caller. Times are in seconds of the steady clock."""
 
     caller: int
     request: JobRequest
@@ -106,12 +103,12 @@
     arrived: float
     tasks: list[TaskRecord]
     expected: Expectation
-    is_awaited: bool = True
-    """Whether its caller was still there once all that had come meanwhile was handled."""
+    caller_confirmed: bool = True
+    """Whether its caller was still connected at `earliest_placement`."""
     may_have_run: bool = False
-    """Whether an earlier try of it was placed at this entry."""
-    place_from: float = 0.0
-    """Before it nothing of the job is placed: its caller may have left already."""
+    """Whether an earlier submission of it was placed by this entry."""
+    earliest_placement: float = 0.0
+    """When its tasks may first be placed; a disconnect of its caller would be known by then."""
 
     @property
     def length(self) -> float:
@@ -120,7 +117,7 @@
 
     @property
     def first_sent(self) -> float:
-        """When its caller is taken to have sent it first."""
+        """Estimated time at which its caller first sent it."""
         return self.arrived - self.expected.age
 
     @property
@@ -130,41 +127,41 @@
 
     @property
     def objective(self) -> float:
-        """Seconds in which the job should end."""
+        """Seconds within which the job should end."""
         return self.queue.stretch * self.length + self.queue.latency
 
     @property
     def due(self) -> float:
-        """When its tasks must end to be in time."""
+        """When its tasks must end to meet the objective."""
         return self.first_sent + self.objective
 
     @property
     def start_by(self) -> float:
-        """When its tasks must start to end in time on a usual host.
+        """When its tasks must start to end in time on a typical host.
 
-        A fast one is no reason to start later: what it saves is left for errors of the length.
+        The time that a fast host saves is kept as a margin for errors of the expected length.
         """
         return self.due - self.length
 
     def urgency(self, now: float) -> float:
-        """Return its place in the order of starts at `now`; less goes first."""
+        """Return its sort key in the order of starts at `now`; lower starts first."""
         late = LATE_SECONDS if self.start_by < now and not self.begun else 0.0
         return self.start_by + PRIORITY_SECONDS * self.queue.priority + late
 
     @property
     def refuse_after(self) -> float:
-        """When a job that was not tried is refused: it would be late, and make others late."""
+        """When a job that has not started is refused: it would be late and delay others."""
         late = self.start_by + ESTIMATE_ERROR * self.length
         return min(late, self.expires - self.length)
 
     @property
     def useful_start(self) -> float:
-        """When its tasks must start for its answer to be of any use."""
+        """When its tasks must start for its answer to be of use."""
         return self.useful_end - self.length
 
     @property
     def useful_end(self) -> float:
-        """When its answer must come to be of any use."""
+        """When its tasks must end for its answer to be of use."""
         return min(self.first_sent + USEFUL_OBJECTIVES * self.objective, self.expires)
 
     @property
@@ -173,13 +170,13 @@
         return self.arrived + self.request.deadline
 
     def waiting(self) -> list[TaskRecord]:
-        """Return the tasks to place."""
+        """Return the tasks that wait to be placed."""
         return [task for task in self.tasks if task.phase is TaskPhase.WAITING]
 
 
 def new_job(
     caller: int, request: JobRequest, queue: Queue, now: float, expected: Expectation | None = None
 ) -> JobRecord:
-    """Return the record of a job that has just come; its estimate holds if nothing is expected."""
+    """Return the record of a new job; without `expected`, the caller's estimate is its length."""
     tasks = [TaskRecord(TaskId(request.key, 0, index)) for index in range(request.count)]
     return JobRecord(caller, request, queue, now, tasks, expected or Expectation(request.estimate))
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
@@ -1,9 +1,9 @@
-"""Which entry a target offers its room to while room is scarce.
+"""Decides which entry a target offers its free resources to while they are contended.
 
-Entries tell what their most urgent waiting task needs. While all of them see the same room, they
-race for it: tasks bounce, and a less urgent one may win. So a target that is nearly full, or has
-not enough for all that wait, shows its room to one entry at a time, the one with the most urgent
-task that fits.
+If all entries saw the same free resources they would race for them: assignments would be refused,
+and a less urgent task could win. So entries send what their most urgent waiting task needs, and a
+target that has too little for all of them reports its free resources to one entry at a time: the
+one with the most urgent task that fits.
 """
 
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 from paddleshunt_core.leased.resources import NOTHING, Resources
 
 OFFER_SECONDS = 0.012
-"""Seconds for which room is kept for one entry: two messages there and back, and some delay."""
+"""Seconds for which an offer is valid; enough for two round trips."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Wanted:
-    """What an entry wants: room for `need`, at steady time `urgent_at` at the latest."""
+class _Request:
+    """An entry's request for `need`, to start by the steady time `urgent_at`."""
 
     need: Resources
     urgent_at: float
@@ -26,46 +26,46 @@
 
 @final
 class Offers:
-    """What entries want from one target, and whom its room is offered to."""
+    """The requests of entries at one target, and the current offer."""
 
     def __init__(self) -> None:
-        self._wanted: dict[str, _Wanted] = {}
+        self._requests: dict[str, _Request] = {}
         self._offered: str | None = None
-        self._since = 0.0
+        self._offered_at = 0.0
 
     def want(self, entry: str, need: Resources, urgent_at: float) -> None:
-        """Note what an entry wants; it replaces what it wanted before."""
-        self._wanted[entry] = _Wanted(need, urgent_at)
+        """Record an entry's request, which replaces its previous one."""
+        self._requests[entry] = _Request(need, urgent_at)
 
     def drop(self, entry: str) -> None:
-        """Forget what an entry wanted: it has had its turn, or its session is over."""
-        self._wanted.pop(entry, None)
+        """Delete an entry's request after its offer was used or its session ended."""
+        self._requests.pop(entry, None)
         if self._offered == entry:
             self._offered = None
 
     def is_contended(self, free: Resources) -> bool:
-        """Whether several entries wait, and `free` room is not enough for a task of each."""
+        """Whether several entries wait and `free` is not enough for a task of each."""
         wanted = NOTHING
-        for each in self._wanted.values():
+        for each in self._requests.values():
             wanted += each.need
-        return len(self._wanted) > 1 and not wanted.fits(free)
+        return len(self._requests) > 1 and not wanted.fits(free)
 
     def offered_to(self, now: float, free: Resources) -> str | None:
-        """Return the entry that `free` room is for; None if nobody waits for so much."""
-        if self._offered is not None and now >= self._since + OFFER_SECONDS:
+        """Return the entry that `free` is offered to; None if no waiting task fits it."""
+        if self._offered is not None and now >= self._offered_at + OFFER_SECONDS:
             self.drop(self._offered)
         if self._offered is None or not self._fits(self._offered, free):
             self._offer(now, free)
         return self._offered
 
     def expires_at(self) -> float | None:
-        """Return when the offer that stands lapses."""
-        return None if self._offered is None else self._since + OFFER_SECONDS
+        """Return when the current offer expires; None without one."""
+        return None if self._offered is None else self._offered_at + OFFER_SECONDS
 
     def _fits(self, entry: str, free: Resources) -> bool:
-        return self._wanted[entry].need.fits(free)
+        return self._requests[entry].need.fits(free)
 
     def _offer(self, now: float, free: Resources) -> None:
-        fitting = [entry for entry in self._wanted if self._fits(entry, free)]
-        self._offered = min(fitting, key=lambda e: self._wanted[e].urgent_at, default=None)
-        self._since = now
+        fitting = [entry for entry in self._requests if self._fits(entry, free)]
+        self._offered = min(fitting, key=lambda e: self._requests[e].urgent_at, default=None)
+        self._offered_at = now
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller of a leased job is told, and what its route is."""
+"""Outcomes of leased jobs, and the effects that report them."""
 
 from dataclasses import dataclass
 from typing import final
@@ -9,15 +9,15 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """Every task ended well."""
+    """Every task succeeded."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """A task failed as often as the queue allows, by the word of the runners that ran it.
+    """A task failed as often as the queue allows, as reported by the runners that ran it.
 
-    Only that is told so: what became of a run that was lost with its runner nobody knows.
+    Runs that were lost with their runner don't count, as their results are unknown.
     """
 
     reason: str
@@ -26,9 +26,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing has run and nothing will; ask again after `retry_after` seconds.
+    """No task has run or will run; the caller may retry after `retry_after` seconds.
 
-    `elsewhere`: another entry may take it now.
+    `elsewhere`: another entry may admit the job now.
     """
 
     reason: str
@@ -39,10 +39,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GivenUp:
-    """It is not known what became of it: tasks may have run, and it may be asked for again.
+    """The outcome is unknown: tasks may have run. The caller may submit the job again.
 
-    Asking again starts nothing under which two runners were lost, until these answer; other
-    counts of tries begin anew.
+    A task under which two runners were lost is not started again until these runners return; the
+    other counts of its retries start from zero.
     """
 
     reason: str
@@ -51,7 +51,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class BroadcastLoss:
-    """Tell the other entries what has just been learned here."""
+    """Send news of a runner's loss to all other entries."""
 
     news: LossNews
 
@@ -62,7 +62,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class AnswerJob:
-    """Tell a caller the outcome of its job."""
+    """Send a caller the outcome of its job, which it `waited` for in seconds."""
 
     caller: int
     key: str
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
@@ -1,4 +1,4 @@
-"""Finds the queue of a request; each request is looked up, and there may be thousands of queues."""
+"""An index of the configured queues by host name, to find the queue of each request quickly."""
 
 from typing import final
 
@@ -7,7 +7,7 @@
 
 @final
 class QueueIndex:
-    """The queues of one configuration, by their hosts."""
+    """The queues of one configuration, indexed by host name."""
 
     def __init__(self, catalog: Catalog = EMPTY) -> None:
         self._catalog = catalog
@@ -18,10 +18,10 @@
             queues.sort(key=lambda queue: len(queue.prefix), reverse=True)
 
     def is_of(self, catalog: Catalog) -> bool:
-        """Whether it was made of this configuration."""
+        """Whether the index was built from this configuration."""
         return self._catalog is catalog
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue of `host` with the longest prefix of `path`."""
+        """Return the queue of `host` whose prefix is the longest match of `path`, if any."""
         queues = self._by_host.get(host, [])
         return next((queue for queue in queues if path.startswith(queue.prefix)), None)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -1,11 +1,9 @@
-"""How often a task is tried again after runs that may have begun, and what its caller is told then.
-
-Two questions are kept apart. Whether a task may be started again is a bound on harm: a task that
-can't end, or takes its runners down, is tried for as long as its caller waits without one, so
-each way back to waiting counts, and a runner that may have crashed counts like one that has. What
-a caller may be told is bound by what is known. No target knows what a run did after it was seen
-last: it may have ended well, or its lease may have run out, before its runner's life ended. So
-a task that is not started again for lost runners has not failed: its outcome is unknown.
+"""Limits how often a task is retried after runs that may have started.
+
+The limits bound the harm of a task that can't end or that crashes its runners, so each unsuccessful
+run counts, and a runner that may have crashed counts like one that has. A job that reaches a limit
+is given up with an unknown outcome rather than as failed: its last run may have succeeded, or been
+stopped by its lease, before its runner was lost.
 """
 
 from typing import final
@@ -17,23 +15,21 @@
 from paddleshunt_core.leased.wire import LossNews, RunnerReturned, RunnerSilent
 
 MAX_LOST_RUNNERS = 2
-"""Runners lost under a task after which it is not started again, whatever else ran on them.
+"""Number of runners lost while running a task after which it is not retried.
 
-One more costs the neighbours on the third runner more than it spares sound jobs that were beside
-the cause twice: measured in docs/design/crashing-tasks.md.
+A higher limit would cost the tasks beside it on the next runner more than it would spare innocent
+tasks (docs/design/crashing-tasks.md).
 """
 
 MAX_LOST_RUNS = 3
-"""The same of lost runners and runs lost with their target or its session, if a runner was lost.
+"""Number of lost runners and of runs lost with a session, together, after which it is not retried.
 
-Why a session ended nobody tells: its runner may have been lost behind a cut.
+It applies if at least one runner was lost: during a network partition a session may end because its
+runner was lost.
 """
 
 MAX_RETRIES = 8
-"""Runs that may have begun without ending well, after which a task is not tried again.
-
-A task that is no fault of this meets a lost, a hanging and a slow runner in turn and has some left.
-"""
+"""Number of unsuccessful runs, for any reason, after which a task is not retried."""
 
 ENDED_RUNNERS = "ended_runners"
 SILENT_RUNNERS = "silent_runners"
@@ -43,19 +39,19 @@
 
 @final
 class Retries:
-    """What an entry goes by when it tries a task again, or gives its job up."""
+    """Decides whether an entry's jobs are retried or given up, by the losses it knows of."""
 
     def __init__(self) -> None:
         self._losses = LossBook()
 
     def known_losses(self, now: float) -> list[LossNews]:
-        """Return what is remembered of lost runners, to hand on."""
+        """Return the remembered losses of runners, to send to another entry."""
         return self._losses.all(now)
 
     def learn(self, now: float, news: LossNews, source: str) -> list[Log]:
-        """Follow a word on a lost runner; return the line about it, none if it was known.
+        """Record news of a lost runner, and return the log lines about it; none if it was known.
 
-        One that is only silent counts for nothing: what is at work on it may go on.
+        `RunnerSilent` is ignored here, as the runner's tasks may still be running.
         """
         if isinstance(news, RunnerSilent) or not self._losses.follow(now, news):
             return []
@@ -65,10 +61,10 @@
         tasks, ended = len(news.tasks), len(news.ended)
         return [note("runner_loss_learned", runner=runner, tasks=tasks, ended=ended, source=source)]
 
-    def handed_in(self, now: float, job: JobRecord) -> GivenUp | None:
-        """Return how a job ends that has just come and is not to be begun; None if it may be.
+    def outcome_on_submit(self, now: float, job: JobRecord) -> GivenUp | None:
+        """Return the outcome of a submitted job that must not be started; None if it may be.
 
-        What is known to have ended under it is remembered for as long as it is asked for.
+        Ended runners count against a job for as long as it keeps being resubmitted.
         """
         outcome = self.outcome(now, job)
         if outcome is not None and outcome.reason == ENDED_RUNNERS:
@@ -77,17 +73,17 @@
         return outcome
 
     def outcome(self, now: float, job: JobRecord) -> GivenUp | None:
-        """Return how a job ends that is not to be tried again; None if it may be."""
+        """Return the outcome of a job that must not be retried; None if it may be."""
         self._losses.expire(now)
-        spent = self._spent(job)
-        return None if spent is None else spent[1]
+        exhausted = self._exhausted(job)
+        return None if exhausted is None else exhausted[1]
 
     def note_given_up(self, job: JobRecord, outcome: GivenUp) -> Log:
-        """Return the line that says for which task a job is given up, and what that cost."""
+        """Return the log line of a job that is given up, with the counts of the task at fault."""
         fields: dict[str, str | int | float] = {"reason": outcome.reason}
-        spent = self._spent(job)
-        if spent is not None:
-            task = spent[0]
+        exhausted = self._exhausted(job)
+        if exhausted is not None:
+            task = exhausted[0]
             fields |= {
                 "index": task.id.index,
                 "runners": ",".join(map(str, self._losses.runners(task.id))),
@@ -97,15 +93,15 @@
             }
         return note("job_given_up", job.request.key, **fields)
 
-    def _spent(self, job: JobRecord) -> tuple[TaskRecord, GivenUp] | None:
-        """Return a task that is not to be tried again, and why; one that is done needs no try."""
+    def _exhausted(self, job: JobRecord) -> tuple[TaskRecord, GivenUp] | None:
+        """Return the first unfinished task that must not be retried, and its job's outcome."""
         open_tasks = (task for task in job.tasks if task.phase is not TaskPhase.DONE)
-        spent = ((task, self._outcome(task)) for task in open_tasks)
-        return next(((task, outcome) for task, outcome in spent if outcome is not None), None)
+        outcomes = ((task, self._task_outcome(task)) for task in open_tasks)
+        return next(((task, outcome) for task, outcome in outcomes if outcome is not None), None)
 
-    def _outcome(self, task: TaskRecord) -> GivenUp | None:
-        """Return how the job of a task ends that is not to be tried again; None if it may be."""
-        runners = self._suspicious(task)
+    def _task_outcome(self, task: TaskRecord) -> GivenUp | None:
+        """Return the outcome of the job of a task that must not be retried; None if it may be."""
+        runners = self._counted_losses(task)
         if runners >= MAX_LOST_RUNNERS:
             ended = len(self._losses.ended(task.id))
             return GivenUp(ENDED_RUNNERS if ended >= MAX_LOST_RUNNERS else SILENT_RUNNERS)
@@ -113,12 +109,11 @@
             return GivenUp(LOST_SESSIONS)
         return GivenUp(RETRIES) if task.retries >= MAX_RETRIES else None
 
-    def _suspicious(self, task: TaskRecord) -> int:
-        """Return how many runners were lost under a task that it may have taken down.
+    def _counted_losses(self, task: TaskRecord) -> int:
+        """Return how many of the runners lost under a task it may have crashed.
 
-        One that was lost beside others, as a rack or a hall is, counts for nothing, but only once:
-        the bound on harm is one runner more then, and not more than that.
+        One loss that is correlated with others, as with an outage of a rack or a hall, is excused.
         """
-        lives = self._losses.runners(task.id)
-        shared = any(self._losses.was_shared(life, task.id.job) for life in lives)
-        return len(lives) - shared
+        incarnations = self._losses.runners(task.id)
+        correlated = any(self._losses.was_shared(each, task.id.job) for each in incarnations)
+        return len(incarnations) - correlated
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wants.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wants.py
@@ -1,4 +1,4 @@
-"""Tells targets which task waits most urgently at an entry, for their offers of scarce room."""
+"""Sends targets the most urgent waiting task of an entry, for their offers of free resources."""
 
 from collections.abc import Iterable, Mapping
 from typing import final
@@ -7,77 +7,79 @@
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import Decline, Want
 
-PAUSE_SECONDS = 0.02
-"""Shortest time between two rounds in which all targets are told; a short task waits 0.1 s."""
+MIN_INTERVAL_SECONDS = 0.02
+"""Minimum seconds between two rounds of messages to all targets."""
 
-PAUSE_SECONDS_A_TARGET = 0.0004
-"""The same for each target: a message costs an entry some 40 us, a round a tenth of a core."""
+MIN_INTERVAL_SECONDS_PER_TARGET = 0.0004
+"""Minimum seconds between two rounds for each target sent to, to limit an entry's CPU time."""
 
 REPEAT_SECONDS = 0.1
-"""Seconds after which a target is told again: an offer that came late may have lapsed."""
+"""Seconds after which a `Want` is sent again, as the offer may have expired unseen."""
 
 
 @final
 class Wants:
-    """What an entry's targets were told of its waiting jobs."""
+    """Sends an entry's `Want` and `Decline` messages to its targets."""
 
     def __init__(self) -> None:
         self._next_round = 0.0
         self._reported: list[TargetRecord] = []
 
-    def tell(
+    def send(
         self,
         now: float,
         heads: Mapping[str, JobRecord],
         targets: Iterable[TargetRecord],
         assigned: Iterable[TargetRecord],
     ) -> None:
-        """Tell targets that don't know yet: all in rounds, those just `assigned` tasks at once.
+        """Send due `Want` messages: to all targets in rounds, to those just `assigned` at once.
 
-        First decline what targets have offered since the last call and were not assigned for.
+        First decline the offers since the last call that were not used.
         """
         self._decline(assigned)
         if not heads:
             return
         if now < self._next_round:
-            self._tell(now, heads, assigned)
+            self._send_to(now, heads, assigned)
             return
-        told = self._tell(now, heads, targets)
-        self._next_round = now + max(PAUSE_SECONDS, PAUSE_SECONDS_A_TARGET * told)
+        sent = self._send_to(now, heads, targets)
+        self._next_round = now + max(MIN_INTERVAL_SECONDS, MIN_INTERVAL_SECONDS_PER_TARGET * sent)
 
-    def reported(self, target: TargetRecord) -> None:
-        """Note that a target has just reported its room: it may be an offer."""
-        if target.told_want:
+    def record_report(self, target: TargetRecord) -> None:
+        """Record that a target has sent a report, which may be an offer."""
+        if target.want_key:
             self._reported.append(target)
 
     def _decline(self, assigned: Iterable[TargetRecord]) -> None:
-        """Let others have the room that was offered, unless a target was `assigned` tasks."""
+        """Decline the offers of targets that were not `assigned` tasks."""
         used = {target.name for target in assigned}
         for target in self._reported:
-            offered = target.report is not None and target.told_need.fits(target.report.free)
-            if target.told_want and offered and target.name not in used and target.session:
+            offered = target.report is not None and target.want_need.fits(target.report.free)
+            if target.want_key and offered and target.name not in used and target.session:
                 target.session.send(Decline())
-                target.told_want = ""
+                target.want_key = ""
         self._reported.clear()
 
-    def _tell(
+    def _send_to(
         self, now: float, heads: Mapping[str, JobRecord], targets: Iterable[TargetRecord]
     ) -> int:
-        """Tell the targets that don't know yet, and return how many."""
-        told = 0
+        """Send due `Want` messages to the targets, and return how many."""
+        sent = 0
         for target in targets:
-            job = _untold(now, heads, target)
+            job = _job_to_send(now, heads, target)
             if job is not None and target.session is not None:
                 target.session.send(Want(job.request.need, _within_ms(now, job)))
-                target.told_want = job.request.key
-                target.told_need = job.request.need
-                target.told_at = now
-                told += 1
-        return told
+                target.want_key = job.request.key
+                target.want_need = job.request.need
+                target.want_sent_at = now
+                sent += 1
+        return sent
 
 
-def _untold(now: float, heads: Mapping[str, JobRecord], target: TargetRecord) -> JobRecord | None:
-    """Return the job that a target is to be told of, if there is one."""
+def _job_to_send(
+    now: float, heads: Mapping[str, JobRecord], target: TargetRecord
+) -> JobRecord | None:
+    """Return the job whose `Want` is due to be sent to a target, if there is one."""
     if target.session is None or target.report is None:
         return None
     job = heads.get(target.report.service)
@@ -85,8 +87,8 @@
         return None
     if job.request.label and not target.has_label(job.request.label):
         return None
-    told = target.told_want == job.request.key and now < target.told_at + REPEAT_SECONDS
-    return None if told else job
+    in_force = target.want_key == job.request.key and now < target.want_sent_at + REPEAT_SECONDS
+    return None if in_force else job
 
 
 def _within_ms(now: float, job: JobRecord) -> int:
--- a/testing/core/leased/test_jobtable.py
+++ b/testing/core/leased/test_jobtable.py
@@ -29,23 +29,23 @@
 def test_a_job_is_found_by_caller_and_key_until_it_is_dropped(
     book: JobTable, job: JobRecord
 ) -> None:
-    assert book.of_caller(7) is book.of_key("job") is job
+    assert book.by_caller(7) is book.by_key("job") is job
     book.drop(job)
     assert len(book) == 0
-    assert book.of_caller(7) is book.of_key("job") is None
+    assert book.by_caller(7) is book.by_key("job") is None
 
 
 @pytest.mark.parametrize("index", [-1, -2, 2, 2**63, -(2**63)])
 def test_a_run_of_a_task_that_the_job_does_not_have_is_none(book: JobTable, index: int) -> None:
     run = RunId(TaskId("job", 0, index), 3)
     assert book.task(run, "t0") is None
-    assert book.run_again([run], "t0", "lost") == []
+    assert book.requeue([run], "t0", "lost") == []
 
 
 def test_a_job_that_is_handed_over_is_its_new_callers(book: JobTable, job: JobRecord) -> None:
     assert book.hand_over(job, 8) == 7
-    assert book.of_caller(7) is None
-    assert book.of_caller(8) is job
+    assert book.by_caller(7) is None
+    assert book.by_caller(8) is job
 
 
 @pytest.mark.parametrize(
@@ -69,14 +69,14 @@
 ) -> None:
     book.hold([RUN], "t0")
     assert job.tasks[1].phase is TaskPhase.HELD
-    (log,) = book.run_again([RUN], "t0", "lease_lapsed")
+    (log,) = book.requeue([RUN], "t0", "lease_lapsed")
     assert (log.event, log.fields["end"]) == ("task_returned", "lease_lapsed")
     assert (job.tasks[1].phase, job.tasks[1].ran) == (TaskPhase.WAITING, True)
 
 
 def test_a_task_that_is_done_does_not_wait_again(book: JobTable, job: JobRecord) -> None:
     job.tasks[1].phase = TaskPhase.DONE
-    assert book.run_again([RUN], "t0", "lease_lapsed") == []
+    assert book.requeue([RUN], "t0", "lease_lapsed") == []
     assert job.tasks[1].phase is TaskPhase.DONE
 
 
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -154,7 +154,7 @@
         record.connected, record.last_received = True, 10.0 + after
         record.session = Session(1, 0)
     room = RoomNow(10.0 + after, targets, lease_times(Bounds()))
-    held = Placement("hall", Random(1), 1.5).awaits_kind(10.0 + after, job(), room)
+    held = Placement("hall", Random(1), 1.5).should_wait_for_kind(10.0 + after, job(), room)
     assert held == (chosen(10.0 + after, job(), *targets) == "")
 
 
@@ -203,7 +203,7 @@
         record.session = Session(1, 0)
     room = RoomNow(10.1, targets, lease_times(Bounds()))
     assert chosen(10.1, asked, *targets) == "slow"
-    assert not Placement("hall", Random(1), 1.5).awaits_kind(10.1, asked, room)
+    assert not Placement("hall", Random(1), 1.5).should_wait_for_kind(10.1, asked, room)
 
 
 @pytest.mark.parametrize(
--- a/testing/core/leased/test_retries.py
+++ b/testing/core/leased/test_retries.py
@@ -169,5 +169,5 @@
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, word(number, job), "t")
-    assert retries.handed_in(50.0, job) is not None
-    assert (retries.handed_in(70.0, job) is not None) == kept
+    assert retries.outcome_on_submit(50.0, job) is not None
+    assert (retries.outcome_on_submit(70.0, job) is not None) == kept
--- a/testing/core/leased/test_room.py
+++ b/testing/core/leased/test_room.py
@@ -36,7 +36,7 @@
 def test_a_silent_target_is_known_but_has_no_room(*, held: bool, silence: float) -> None:
     silent = target("t1", SIZE)
     if held:
-        silent.place(10.0, RunId(TaskId("job", 0, 0), 1))
+        silent.record_run(10.0, RunId(TaskId("job", 0, 0), 1))
     assert room(silent, now=10.0 + silence - 0.01).usable("svc") == [silent]
     view = room(silent, now=10.0 + silence + 0.01)
     assert [t.name for t in view.known("svc")] == ["t1"]
