--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -127,7 +127,7 @@
         self._sessions = 0
         self._first_session_at: float | None = None
         """When the first session with a target was opened."""
-        self._standstill = StandStill(times.session)
+        self._pause_detector = StandStill(times.session)
         self._exit_at: float | None = None
         """When this process exits, if it is leaving."""
         self.new_job_refusal: Refused | None = None
@@ -177,8 +177,8 @@
 
     def submit(self, now: float, caller: int, request: JobRequest, queue: Queue) -> list[Effect]:
         """Admit a job, or refuse it."""
-        effects = self._handle_standstill(now)
-        if self._standstill.just_ended(now):
+        effects = self._handle_pause(now)
+        if self._pause_detector.just_ended(now):
             stood_still = Refused("stood_still", THAW_SECONDS)
             return [*effects, self._refuse(caller, request, stood_still)]
         existing = self._jobs.by_key(request.key)
@@ -229,7 +229,7 @@
 
     def caller_left(self, now: float, caller: int) -> list[Effect]:
         """Stop the job of a caller that has disconnected."""
-        effects = self._handle_standstill(now)
+        effects = self._handle_pause(now)
         job = self._jobs.by_caller(caller)
         if job is None:
             return effects
@@ -352,7 +352,7 @@
 
     def handle_frame(self, now: float, name: str, frame: Frame) -> list[Effect]:
         """Handle a frame received from a target."""
-        effects = self._handle_standstill(now)
+        effects = self._handle_pause(now)
         target = self._targets.get(name)
         if target is None or target.session is None or target.session.misses(frame):
             return effects
@@ -383,7 +383,7 @@
 
     def check_confirmations(self, now: float) -> list[Effect]:
         """Place tasks elsewhere whose target has not confirmed that it lives: none has started."""
-        effects = self._handle_standstill(now)
+        effects = self._handle_pause(now)
         logs = self._liveness.check(now)
         return [*effects, *logs, *self._place(now)] if logs else effects
 
@@ -393,21 +393,21 @@
         Call it only after the disconnects that have already occurred are handled. No other method
         places these jobs.
         """
-        effects = self._handle_standstill(now)
+        effects = self._handle_pause(now)
         for job in self._jobs.all():
             job.caller_confirmed = job.caller_confirmed or now >= job.earliest_placement
         return [*effects, *self._place(now)]
 
     def place_waiting(self, now: float) -> list[Effect]:
         """Place waiting tasks if a message has arrived since the last placement."""
-        effects = self._handle_standstill(now)
+        effects = self._handle_pause(now)
         return [*effects, *self._place(now)] if self._placement_due else effects
 
     # Time.
 
     def tick(self, now: float) -> list[Effect]:
         """Check timeouts, and place waiting tasks."""
-        effects = self._handle_standstill(now)
+        effects = self._handle_pause(now)
         for target in list(self._targets.values()):
             effects += self._check_target(now, target)
         self._speeds.tick(now, self._targets.values())
@@ -497,9 +497,9 @@
             for run in runs:
                 target.placed.discard(run)
 
-    def _handle_standstill(self, now: float) -> list[Effect]:
-        """Give up all jobs after a suspension of this process: callers may have gone elsewhere."""
-        seconds = self._standstill.moved(now)
+    def _handle_pause(self, now: float) -> list[Effect]:
+        """Give up all jobs after a pause of this process: callers may have gone elsewhere."""
+        seconds = self._pause_detector.moved(now)
         if not seconds:
             return []
         fields: dict[str, str | int | float] = {
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Jobs under failures, in the small fleet of `leasedfleet`, under two sets of bounds."""
+"""Jobs under failures, in the simulated fleet of `leasedfleet`, under two sets of bounds."""
 
 from random import Random
 
@@ -58,7 +58,7 @@
     assert fleet.answers[caller].retry_after > 0  # type: ignore[union-attr]
 
 
-def test_an_entry_that_has_just_started_does_not_take_its_first_target_for_all() -> None:
+def test_a_starting_entry_does_not_judge_capacity_by_its_first_target() -> None:
     fleet = Fleet(targets=4)
     for target in ("t1", "t2", "t3"):
         fleet.kill(target)
@@ -83,7 +83,7 @@
     assert started <= keys
 
 
-def test_a_job_that_ran_out_of_time_is_not_called_failed(fleet: Fleet) -> None:
+def test_a_job_past_its_deadline_is_given_up_rather_than_failed(fleet: Fleet) -> None:
     caller = fleet.submit("e0", "job", length=5.0, estimate=1.0, deadline=2.0)
     fleet.run(2.2)
     assert fleet.answers[caller] == GivenUp("deadline")
@@ -91,7 +91,7 @@
     assert not any(r.running for r in fleet.runners.values())
 
 
-def test_a_job_whose_tasks_fail_is_failed_after_the_queues_attempts(fleet: Fleet) -> None:
+def test_a_job_whose_tasks_fail_is_failed_after_the_queues_max_attempts(fleet: Fleet) -> None:
     for runner in fleet.runners.values():
         runner.fails = True
     caller = fleet.submit("e0", "job", count=1, length=0.1)
@@ -108,7 +108,7 @@
     assert not any(r.running for r in fleet.runners.values())
 
 
-def test_a_killed_entrys_tasks_are_gone_before_its_caller_asks_again(fleet: Fleet) -> None:
+def test_a_killed_entrys_tasks_stop_before_its_caller_resubmits(fleet: Fleet) -> None:
     fleet.submit("e0", "job", count=4, length=6.0, deadline=20.0)
     fleet.run(0.3)
     fleet.kill("e0")
@@ -152,13 +152,13 @@
     assert fleet.answers[caller] == Refused("stood_still", 0.1)
 
 
-@pytest.mark.parametrize("way", ["both", "to_target", "to_entry"])
-def test_tasks_behind_a_cut_run_again_elsewhere(fleet: Fleet, way: str) -> None:
+@pytest.mark.parametrize("direction", ["both", "to_target", "to_entry"])
+def test_tasks_behind_a_network_partition_run_again_elsewhere(fleet: Fleet, direction: str) -> None:
     caller = fleet.submit("e0", "job", count=3, length=1.0, deadline=20.0)
     fleet.run(0.2)
-    if way != "to_entry":
+    if direction != "to_entry":
         fleet.cut("e0", "t0")
-    if way != "to_target":
+    if direction != "to_target":
         fleet.cut("t0", "e0")
     fleet.run(2 * fleet.times.session_end + 2.0)
     assert fleet.answers[caller] == Completed()
@@ -206,21 +206,21 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_tasks_that_stand_still_run_elsewhere(fleet: Fleet) -> None:
+def test_tasks_without_progress_run_again_elsewhere(fleet: Fleet) -> None:
     fleet.runners["t0"].speed = 0.0
     caller = fleet.submit("e0", "job", count=3, length=0.4, deadline=20.0)
     fleet.run(2.0)
     assert fleet.answers[caller] == Completed()
 
 
-def test_a_runner_that_fails_all_does_not_fail_jobs(fleet: Fleet) -> None:
+def test_a_runner_that_fails_every_task_does_not_fail_jobs(fleet: Fleet) -> None:
     fleet.runners["t0"].fails = True
     callers = [fleet.submit("e0", f"j{n}", count=3, length=0.1) for n in range(6)]
     fleet.run(3.0)
     assert [fleet.answers[caller] for caller in callers] == [Completed()] * 6
 
 
-def test_orders_carried_out_late_run_nothing_twice(fleet: Fleet) -> None:
+def test_orders_that_a_runner_carries_out_late_run_nothing_twice(fleet: Fleet) -> None:
     fleet.runners["t0"].late = 2.5
     callers = [fleet.submit("e0", f"j{n}", count=3, length=0.3, deadline=20.0) for n in range(4)]
     fleet.run(1.0)
@@ -229,7 +229,7 @@
     assert [fleet.answers[caller] for caller in callers] == [Completed()] * 4
 
 
-def test_no_start_is_rejected_for_room_while_two_entries_share_targets(fleet: Fleet) -> None:
+def test_no_start_is_rejected_for_capacity_while_two_entries_share_targets(fleet: Fleet) -> None:
     for number in range(30):
         fleet.submit(f"e{number % 2}", f"j{number}", count=3, length=0.2)
         fleet.run(0.05)
@@ -245,7 +245,7 @@
     assert isinstance(fleet.answers[caller], Refused)
 
 
-def test_nothing_is_started_before_a_new_runner_was_looked_at(fleet: Fleet) -> None:
+def test_nothing_is_started_on_a_new_runner_before_it_was_polled(fleet: Fleet) -> None:
     fleet.runners["t0"].crash()
     fleet.run(1.0)
     fleet.runners["t0"].restart()
@@ -258,7 +258,7 @@
     assert not fleet.runners["t0"].starts
 
 
-def test_a_target_that_gives_tasks_back_is_left_alone_for_a_moment(fleet: Fleet) -> None:
+def test_a_target_that_returns_tasks_is_backed_off_from(fleet: Fleet) -> None:
     fleet.runners["t0"].refuses = True
     caller = fleet.submit("e0", "job", count=6, length=0.2)
     fleet.run(0.5)
@@ -275,7 +275,7 @@
     assert "run_stopping" not in {kind for _, kind, _ in fleet.events}
 
 
-def test_tasks_leave_a_runner_that_turned_slow(fleet: Fleet) -> None:
+def test_tasks_move_off_a_runner_that_became_slow(fleet: Fleet) -> None:
     caller = fleet.submit("e0", "job", count=9, length=1.0, deadline=20.0)
     fleet.run(0.2)
     fleet.runners["t0"].speed = 0.1
@@ -283,7 +283,7 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_a_slow_runner_is_trusted_again_when_it_has_proved_itself(fleet: Fleet) -> None:
+def test_a_slow_runner_is_used_again_once_it_is_fast_on_probation(fleet: Fleet) -> None:
     fleet.runners["t0"].speed = 0.1
     for number in range(8):
         fleet.submit("e0", f"j{number}", count=4, length=0.3, deadline=20.0)
@@ -306,7 +306,7 @@
     assert fleet.answers[caller] == Failed("attempts")
 
 
-def test_a_job_that_comes_again_at_its_home_goes_on_with_the_new_caller(fleet: Fleet) -> None:
+def test_a_resubmitted_job_continues_with_its_new_caller(fleet: Fleet) -> None:
     first = fleet.submit("e0", "job", count=3, length=0.5)
     fleet.run(0.2)
     second = fleet.submit("e0", "job", count=3, length=0.5)
@@ -316,7 +316,7 @@
     assert sum(r.starts.total() for r in fleet.runners.values()) == 3
 
 
-def test_while_targets_are_being_met_a_late_job_waits_instead_of_being_refused() -> None:
+def test_a_late_job_is_not_refused_while_targets_are_still_connecting() -> None:
     fleet = Fleet(entries=1, targets=2)
     for target in fleet.targets:
         fleet.kill(target)
@@ -329,7 +329,7 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_a_job_that_nobody_could_use_any_more_is_refused_while_targets_are_being_met() -> None:
+def test_a_job_too_late_to_be_of_use_is_refused_while_targets_are_still_connecting() -> None:
     fleet = Fleet(entries=1, targets=1)
     fleet.kill("t0")
     caller = fleet.submit("e0", "short", count=4, length=0.12)
@@ -337,8 +337,8 @@
     assert isinstance(fleet.answers[caller], Refused)
 
 
-def test_entries_do_not_race_for_scarce_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A message takes a step each way; in steps of 10 ms an offer of 12 ms would lapse on its way.
+def test_entries_do_not_race_for_contended_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A message takes one step; with steps of 10 ms an offer of 12 ms would expire in transit.
     monkeypatch.setattr(leasedfleet, "STEP", 0.002)
     fleet = Fleet(entries=4, targets=12)
     fleet.run(0.4)
@@ -350,9 +350,9 @@
     assert returned < placed / 6
 
 
-@pytest.mark.parametrize("woken_by", ["tick", "place_waiting", "check_confirmations"])
-def test_only_what_knows_the_ends_of_connections_places_a_new_job_first(woken_by: str) -> None:
-    """A timer may be late, and the loop may not have asked whether the caller is gone."""
+@pytest.mark.parametrize("method", ["tick", "place_waiting", "check_confirmations"])
+def test_only_place_new_jobs_places_a_new_job(method: str) -> None:
+    """Other calls may come before the event loop has read the disconnect of its caller."""
     times = lease_times(Bounds())
     dispatcher = Dispatcher(times, "hall", Random(7), caller_delay=0.004)
     session, _ = dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
@@ -361,7 +361,7 @@
     report = RunnerReport("svc", "i-1", RunnerState.READY, Health.GOOD, room, room)
     dispatcher.submit(1.0, 1, JobRequest("job", "spec", 2, Resources(1000, 64), 0.4, 4.0), QUEUE)
     dispatcher.handle_frame(1.02, "t", Frame(1, 0, 1020, 0, [report]))
-    getattr(dispatcher, woken_by)(1.02)
+    getattr(dispatcher, method)(1.02)
     assert dispatcher.has_new_jobs
     assert not any(isinstance(body, Assign) for body in session.frame(1020).bodies)
     dispatcher.place_new_jobs(1.02)
@@ -370,7 +370,7 @@
 
 
 @pytest.mark.parametrize(("leaves_after", "placed"), [(0.003, False), (0.005, True)])
-def test_nothing_is_placed_before_a_caller_can_have_said_that_it_left(
+def test_a_job_is_not_placed_before_a_disconnect_of_its_caller_would_be_seen(
     leaves_after: float, *, placed: bool
 ) -> None:
     times = lease_times(Bounds())
@@ -390,22 +390,22 @@
     assert any(isinstance(body, Assign) for body in bodies) == placed
 
 
-def test_a_loss_is_handed_on_by_the_entry_that_a_target_told_only() -> None:
-    """If each that hears of it told all, an old loss would never stop being told."""
+def test_only_losses_reported_by_a_target_are_broadcast() -> None:
+    """If entries broadcast news from each other, it would circulate forever."""
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(7))
     dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     lost = RunnerLost(LossId("i-1", 900), [TaskId("job", 0, 0)], ["q"], [100])
-    told = dispatcher.handle_loss_news(1.0, lost, "t")
-    assert [effect.news for effect in told if isinstance(effect, BroadcastLoss)] == [lost]
+    from_target = dispatcher.handle_loss_news(1.0, lost, "t")
+    assert [effect.news for effect in from_target if isinstance(effect, BroadcastLoss)] == [lost]
     assert dispatcher.handle_loss_news(1.0, lost, "t") == []
     other = RunnerLost(LossId("i-2", 900), [TaskId("job", 0, 0)], ["q"], [100])
-    heard = dispatcher.handle_loss_news(1.0, other, "e1")
-    assert heard
-    assert not any(isinstance(effect, BroadcastLoss) for effect in heard)
+    from_entry = dispatcher.handle_loss_news(1.0, other, "e1")
+    assert from_entry
+    assert not any(isinstance(effect, BroadcastLoss) for effect in from_entry)
 
 
-def test_a_job_that_ran_before_is_not_refused_as_one_that_did_not() -> None:
-    """Its caller would take the second answer for the whole: that nothing of it has run."""
+def test_a_resubmitted_job_that_ran_before_is_given_up_rather_than_refused() -> None:
+    """A refusal would mean to its caller that nothing of the job has run."""
     fleet = Fleet(entries=1, targets=1)
     fleet.settle()
     first = fleet.submit("e0", "job", count=1, length=3.0, estimate=0.3, deadline=1.0)
--- a/testing/core/leased/test_entrychoice.py
+++ b/testing/core/leased/test_entrychoice.py
@@ -1,4 +1,4 @@
-"""Which entries a target holds sessions with."""
+"""Selection of the entries that a target holds sessions with."""
 
 from collections import Counter
 
@@ -24,26 +24,26 @@
     return choice
 
 
-def test_nothing_is_known_at_first() -> None:
+def test_no_entries_are_known_at_first() -> None:
     choice = EntryChoice("t1")
     assert not choice.has_entries()
     assert names(choice) == []
 
 
-def test_all_entries_are_wanted_if_they_are_few() -> None:
+def test_all_entries_are_selected_if_they_are_few() -> None:
     choice = EntryChoice("t1")
     choice.replace_known("e0", ENTRIES[:3])
     assert sorted(names(choice)) == ["e0", "e1", "e2"]
 
 
-def test_a_targets_choice_does_not_depend_on_the_order_it_was_told() -> None:
+def test_the_selection_does_not_depend_on_the_order_of_the_reported_entries() -> None:
     choice = EntryChoice("t1")
     choice.replace_known("e0", ENTRIES[::-1])
     assert names(choice) == names(choice_of("t1"))
     assert len(names(choice)) == SESSIONS
 
 
-def test_targets_spread_over_all_entries() -> None:
+def test_targets_are_spread_evenly_over_all_entries() -> None:
     shares = Counter(name for n in range(66) for name in names(choice_of(f"side-{n}")))
     mean = 66 * SESSIONS / len(ENTRIES)
     assert len(shares) == len(ENTRIES)
@@ -59,7 +59,7 @@
     assert len(after) == SESSIONS
 
 
-def test_an_entry_that_cannot_be_reached_is_passed_over_for_a_while() -> None:
+def test_a_suspected_entry_is_skipped_until_the_suspicion_expires() -> None:
     choice = choice_of("t1")
     first = names(choice)[0]
     choice.suspect(1.0, first)
@@ -67,20 +67,20 @@
     assert names(choice, 1.0 + SUSPECT_SECONDS)[0] == first
 
 
-def test_an_entry_that_is_linked_again_is_not_passed_over() -> None:
+def test_a_suspected_entry_that_is_connected_again_is_not_skipped() -> None:
     choice = choice_of("t1")
     first = names(choice)[0]
     choice.suspect(1.0, first)
     assert first in names(choice, 1.1, frozenset({"e0", first}))
 
 
-def test_what_an_entry_told_that_is_not_linked_any_more_does_not_count() -> None:
+def test_reports_of_entries_that_are_not_connected_are_ignored() -> None:
     choice = choice_of("t1")
     choice.replace_known("e1", ENTRIES[1:3])
     assert sorted(names(choice, linked=frozenset({"e1"}))) == ["e1", "e2"]
 
 
-def test_a_suspected_entry_that_has_started_anew_is_wanted_at_once() -> None:
+def test_a_suspected_entry_that_has_restarted_is_selected_at_once() -> None:
     choice = EntryChoice("t1")
     choice.replace_known("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
     choice.suspect(1.0, "e1")
@@ -90,7 +90,7 @@
     assert names(choice, 1.1) == ["e1"]
 
 
-def test_word_of_a_life_that_has_ended_clears_no_suspicion() -> None:
+def test_a_late_report_of_an_ended_incarnation_clears_no_suspicion() -> None:
     choice = EntryChoice("t1")
     choice.replace_known("e0", [EntryAddress("e1", "10.0.0.1:7720", "first")])
     choice.replace_known("e2", [EntryAddress("e1", "10.0.0.1:7720", "second")])
@@ -99,7 +99,7 @@
     assert names(choice, 1.1) == []
 
 
-def test_changes_are_added_to_what_a_teller_has_told() -> None:
+def test_changes_apply_to_the_entries_reported_by_the_same_source() -> None:
     choice = EntryChoice("t1")
     choice.replace_known("e0", ENTRIES[:3])
     choice.update_known("e0", [ENTRIES[3]], ["e1"])
@@ -108,7 +108,7 @@
     assert sorted(names(choice, linked=frozenset({"e0"}))) == ["e0", "e2", "e3"]
 
 
-def test_of_too_many_open_sessions_the_first_in_the_order_of_choice_are_kept() -> None:
+def test_of_too_many_open_sessions_those_of_the_highest_rank_are_kept() -> None:
     choice = choice_of("t1")
     wanted = names(choice)
     others = {entry.name for entry in ENTRIES} - set(wanted)
@@ -117,7 +117,7 @@
 
 
 def in_halls(target: str, hall: str, entries: dict[str, int]) -> EntryChoice:
-    """Return the choice of a target in `hall` that was told so many entries in each hall."""
+    """Return the choice of a target in `hall` that knows the given number of entries per hall."""
     choice = EntryChoice(target, hall)
     addresses = [
         EntryAddress(f"{place}-{n}", f"10.0.{index}.{n}:7720", "life", place)
@@ -128,13 +128,13 @@
     return choice
 
 
-def test_entries_of_the_own_hall_come_first() -> None:
+def test_entries_in_the_targets_own_hall_are_preferred() -> None:
     choice = in_halls("t1", "a", {"a": 20, "b": 20})
     halls = [entry.hall for entry in choice.wanted(1.0, set())]
     assert halls == ["a"] * (SESSIONS - OTHER_HALLS) + ["b"] * OTHER_HALLS
 
 
-def test_an_entry_whose_hall_has_no_targets_is_served_by_other_halls() -> None:
+def test_an_entry_whose_hall_has_no_targets_has_sessions_with_other_halls() -> None:
     shares = Counter(
         name
         for n in range(60)
@@ -155,12 +155,14 @@
     ],
     ids=["few_near", "few_far", "none_near", "none_far"],
 )
-def test_no_session_is_left_unused(entries: dict[str, int], expected: dict[str, int]) -> None:
+def test_all_sessions_are_used_however_the_entries_are_spread_over_halls(
+    entries: dict[str, int], expected: dict[str, int]
+) -> None:
     wanted = in_halls("t1", "a", entries).wanted(1.0, set())
     assert Counter(entry.hall for entry in wanted) == expected
 
 
-def test_of_too_many_open_sessions_those_of_the_own_hall_are_kept_first() -> None:
+def test_of_too_many_open_sessions_those_in_the_targets_own_hall_are_kept_first() -> None:
     choice = in_halls("t1", "a", {"a": 20, "b": 20})
     wanted = set(names(choice))
     every = {f"{hall}-{n}" for hall in "ab" for n in range(20)}
--- a/testing/core/leased/test_jobtable.py
+++ b/testing/core/leased/test_jobtable.py
@@ -1,4 +1,4 @@
-"""Jobs by caller and key, and tasks by run."""
+"""Lookup of jobs by caller and key, and of tasks by run."""
 
 import pytest
 from paddleshunt_core.leased.catalog import Queue
@@ -20,32 +20,34 @@
 
 
 @pytest.fixture
-def book(job: JobRecord) -> JobTable:
-    book = JobTable()
-    book.add(job)
-    return book
+def table(job: JobRecord) -> JobTable:
+    table = JobTable()
+    table.add(job)
+    return table
 
 
 def test_a_job_is_found_by_caller_and_key_until_it_is_dropped(
-    book: JobTable, job: JobRecord
+    table: JobTable, job: JobRecord
 ) -> None:
-    assert book.by_caller(7) is book.by_key("job") is job
-    book.drop(job)
-    assert len(book) == 0
-    assert book.by_caller(7) is book.by_key("job") is None
+    assert table.by_caller(7) is table.by_key("job") is job
+    table.drop(job)
+    assert len(table) == 0
+    assert table.by_caller(7) is table.by_key("job") is None
 
 
 @pytest.mark.parametrize("index", [-1, -2, 2, 2**63, -(2**63)])
-def test_a_run_of_a_task_that_the_job_does_not_have_is_none(book: JobTable, index: int) -> None:
+def test_a_run_with_an_index_out_of_range_has_no_task(table: JobTable, index: int) -> None:
     run = RunId(TaskId("job", 0, index), 3)
-    assert book.task(run, "t0") is None
-    assert book.requeue([run], "t0", "lost") == []
+    assert table.task(run, "t0") is None
+    assert table.requeue([run], "t0", "lost") == []
 
 
-def test_a_job_that_is_handed_over_is_its_new_callers(book: JobTable, job: JobRecord) -> None:
-    assert book.hand_over(job, 8) == 7
-    assert book.by_caller(7) is None
-    assert book.by_caller(8) is job
+def test_a_job_that_is_handed_over_belongs_to_its_new_caller(
+    table: JobTable, job: JobRecord
+) -> None:
+    assert table.hand_over(job, 8) == 7
+    assert table.by_caller(7) is None
+    assert table.by_caller(8) is job
 
 
 @pytest.mark.parametrize(
@@ -57,49 +59,49 @@
     ],
     ids=["an earlier run", "another target", "another job"],
 )
-def test_only_the_newest_run_at_its_own_target_names_a_task(
-    book: JobTable, job: JobRecord, run: RunId, target: str
+def test_only_the_newest_run_at_its_own_target_has_a_task(
+    table: JobTable, job: JobRecord, run: RunId, target: str
 ) -> None:
-    assert book.task(RUN, "t0") is job.tasks[1]
-    assert book.task(run, target) is None
+    assert table.task(RUN, "t0") is job.tasks[1]
+    assert table.task(run, target) is None
 
 
-def test_tasks_that_are_held_wait_again_once_their_runs_are_over(
-    book: JobTable, job: JobRecord
+def test_held_tasks_return_to_waiting_once_their_runs_are_over(
+    table: JobTable, job: JobRecord
 ) -> None:
-    book.hold([RUN], "t0")
+    table.hold([RUN], "t0")
     assert job.tasks[1].phase is TaskPhase.HELD
-    (log,) = book.requeue([RUN], "t0", "lease_lapsed")
+    (log,) = table.requeue([RUN], "t0", "lease_lapsed")
     assert (log.event, log.fields["end"]) == ("task_returned", "lease_lapsed")
     assert (job.tasks[1].phase, job.tasks[1].ran) == (TaskPhase.WAITING, True)
 
 
-def test_a_task_that_is_done_does_not_wait_again(book: JobTable, job: JobRecord) -> None:
+def test_a_task_that_is_done_does_not_return_to_waiting(table: JobTable, job: JobRecord) -> None:
     job.tasks[1].phase = TaskPhase.DONE
-    assert book.requeue([RUN], "t0", "lease_lapsed") == []
+    assert table.requeue([RUN], "t0", "lease_lapsed") == []
     assert job.tasks[1].phase is TaskPhase.DONE
 
 
-def test_a_job_that_comes_again_goes_on_counting_its_runs(book: JobTable, job: JobRecord) -> None:
-    """A late word on a run of the first try must not be taken for one on the second's."""
-    book.drop(job)
+def test_a_resubmitted_job_continues_its_run_numbers(table: JobTable, job: JobRecord) -> None:
+    """A late message on a run of the first submission must not match a run of the second."""
+    table.drop(job)
     again = new_job(9, job.request, QUEUE, 2.0)
-    book.add(again)
+    table.add(again)
     assert [task.number for task in again.tasks] == [0, 3]
     task = again.tasks[1]
     task.number += 1
     task.target, task.phase = "t0", TaskPhase.PLACED
-    assert book.task(RUN, "t0") is None
-    assert book.task(RunId(RUN.task, 4), "t0") is task
+    assert table.task(RUN, "t0") is None
+    assert table.task(RunId(RUN.task, 4), "t0") is task
 
 
-def test_no_more_dropped_jobs_are_remembered_than_the_limit(book: JobTable) -> None:
+def test_the_oldest_dropped_jobs_are_forgotten_beyond_the_limit(table: JobTable) -> None:
     for number in range(MAX_REMEMBERED_JOBS + 2):
         request = JobRequest(f"j{number}", "spec", 1, Resources(1000, 64), 0.5, 4.0)
         other = new_job(100 + number, request, QUEUE, 1.0)
-        book.add(other)
+        table.add(other)
         other.tasks[0].number = 5
-        book.drop(other)
+        table.drop(other)
     first = new_job(1, JobRequest("j0", "spec", 1, Resources(1000, 64), 0.5, 4.0), QUEUE, 2.0)
-    book.add(first)
+    table.add(first)
     assert first.tasks[0].number == 0
--- a/testing/core/leased/test_late_starts.py
+++ b/testing/core/leased/test_late_starts.py
@@ -1,16 +1,16 @@
-"""Starts that a runner carries out late, without an answer: nobody may want them any more by then.
+"""Starts that a runner carries out late, when their job may be gone: leases and stops end them.
 
-The runner here keeps no fencing token, so what it does late is held by leases and stops alone.
+The runner here checks no fencing tokens, so these are the only means.
 """
 
 import pytest
 from leasedfleet import STEP, Fleet
 
-GONE_SECONDS = 0.1
-"""Seconds after a late start in which a target that reaches its runner has it stopped."""
+MAX_STOP_SECONDS = 0.1
+"""Maximum seconds after a late start until a target that reaches its runner has stopped it."""
 
-LATE = [0.1, 0.3, 0.5]
-"""Seconds; a start that comes after the lease it brings, 0.69 s, starts nothing at all."""
+DELAYS = [0.1, 0.3, 0.5]
+"""Delays of starts in seconds, shorter than the lease of 0.69 s that a start carries."""
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
 
 
 def order_late(fleet: Fleet, late: float) -> int:
-    """Have a job's three tasks ordered, to be carried out late; return its caller."""
+    """Submit a job of three tasks whose starts the runner carries out late; return its caller."""
     fleet.runners["t0"].late = late
     caller = fleet.submit("e0", "job", count=3, length=5.0, deadline=20.0)
     while len(fleet._late_orders) < 3:
@@ -31,8 +31,8 @@
     return caller
 
 
-def longest(fleet: Fleet, seconds: float) -> float:
-    """Let time pass, and return for how long a task was at work without a break."""
+def longest_busy(fleet: Fleet, seconds: float) -> float:
+    """Run the fleet and return the longest time in seconds during which tasks were running."""
     runner = fleet.runners["t0"]
     steps = most = 0
     for _ in range(round(seconds / STEP)):
@@ -46,35 +46,29 @@
     return sum(fleet.runners["t0"].starts.values())
 
 
-@pytest.mark.parametrize("late", LATE)
-def test_a_start_that_comes_late_after_its_caller_has_left_is_stopped(
-    fleet: Fleet, late: float
-) -> None:
+@pytest.mark.parametrize("late", DELAYS)
+def test_a_late_start_after_its_caller_has_left_is_stopped(fleet: Fleet, late: float) -> None:
     caller = order_late(fleet, late)
     fleet.runners["t0"].loses_stops = True
     fleet.leave("e0", caller)
     fleet.run(late)
     assert started(fleet) == 3
     fleet.runners["t0"].loses_stops = False
-    assert longest(fleet, 2.0) <= GONE_SECONDS
+    assert longest_busy(fleet, 2.0) <= MAX_STOP_SECONDS
     assert not fleet.runners["t0"].running
 
 
-@pytest.mark.parametrize("late", LATE)
-def test_a_stop_that_was_confirmed_keeps_the_late_start_from_beginning(
-    fleet: Fleet, late: float
-) -> None:
+@pytest.mark.parametrize("late", DELAYS)
+def test_a_confirmed_stop_prevents_the_late_start(fleet: Fleet, late: float) -> None:
     caller = order_late(fleet, late)
     fleet.leave("e0", caller)
-    assert longest(fleet, 2.0) == 0
+    assert longest_busy(fleet, 2.0) == 0
     assert started(fleet) == 0
 
 
-@pytest.mark.parametrize("late", LATE)
-def test_without_any_stop_a_late_start_of_a_left_caller_ends_with_its_lease(
-    fleet: Fleet, late: float
-) -> None:
-    """Other work goes on there, and renews the lease as far as that run allows."""
+@pytest.mark.parametrize("late", DELAYS)
+def test_a_late_start_that_is_not_stopped_ends_with_its_lease(fleet: Fleet, late: float) -> None:
+    """Another job's tasks on the runner must not renew the lease of the late ones."""
     fleet.submit("e0", "other", count=2, length=3.0, deadline=20.0)
     fleet.run(0.2)
     caller = order_late(fleet, late)
@@ -90,31 +84,33 @@
 
 
 @pytest.mark.parametrize(
-    ("late", "met"), [(0.1, False), (0.3, True), (0.5, True)], ids=["before", "after", "long-after"]
+    ("late", "polled"),
+    [(0.1, False), (0.3, True), (0.5, True)],
+    ids=["before", "after", "long-after"],
 )
-def test_a_start_of_a_target_that_was_removed_is_stopped_by_the_next_one(
-    fleet: Fleet, late: float, met: bool
+def test_a_late_start_of_a_removed_target_is_stopped_by_its_successor(
+    fleet: Fleet, late: float, polled: bool
 ) -> None:
-    """Before or after the next one has met the runner, seen it empty, and is in session again."""
+    """The start comes before or after the new target has polled the runner and seen it empty."""
     caller = order_late(fleet, late)
     fleet.leave("e0", caller)
     fleet.kill("t0")
     fleet.start("t0")
     fleet.run(late - STEP)
-    assert (fleet.workers["t0"].next_look(fleet.now).wait > 0) is met
+    assert (fleet.workers["t0"].next_look(fleet.now).wait > 0) is polled
     assert started(fleet) == 0
     fleet.run(2 * STEP)
     assert started(fleet) == 3
-    assert longest(fleet, 2.0) <= GONE_SECONDS
+    assert longest_busy(fleet, 2.0) <= MAX_STOP_SECONDS
     assert not fleet.runners["t0"].running
 
 
-@pytest.mark.parametrize("late", LATE)
-def test_a_start_of_a_target_that_was_removed_for_good_ends_with_its_lease(
+@pytest.mark.parametrize("late", DELAYS)
+def test_a_late_start_of_a_target_without_successor_ends_with_its_lease(
     fleet: Fleet, late: float
 ) -> None:
     order_late(fleet, late)
     fleet.kill("t0")
     fleet.run(late + STEP)
     assert started(fleet) == 3
-    assert longest(fleet, 2.0) <= fleet.times.hold - late + 2 * STEP
+    assert longest_busy(fleet, 2.0) <= fleet.times.hold - late + 2 * STEP
--- a/testing/core/leased/test_livenesschecks.py
+++ b/testing/core/leased/test_livenesschecks.py
@@ -1,4 +1,4 @@
-"""First assignments to idle targets: a round trip, and what becomes of those that don't answer."""
+"""First assignments to idle targets, which must confirm that they live before they start tasks."""
 
 import pytest
 from leasedfleet import STEP, Fleet
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def fleet() -> Fleet:
-    """A fleet of two targets whose sessions are idle, between two slow heartbeats."""
+    """A fleet of two targets whose sessions are idle and whose leases have lapsed."""
     fleet = Fleet(entries=1, targets=2)
     fleet.settle()
     while not all(_is_lapsed(fleet, name) for name in fleet.targets):
@@ -27,13 +27,13 @@
     return {name: sum(runner.starts.values()) for name, runner in fleet.runners.items()}
 
 
-def holder(fleet: Fleet) -> str:
-    """Return the target that the only task has been sent to."""
+def target_with_task(fleet: Fleet) -> str:
+    """Return the name of the target that the only task has been sent to."""
     (name,) = [t.name for t in fleet.dispatchers["e0"].targets() if t.placed]
     return name
 
 
-def test_the_first_task_after_idleness_costs_one_round_trip(fleet: Fleet) -> None:
+def test_the_first_task_of_an_idle_target_starts_after_one_round_trip(fleet: Fleet) -> None:
     caller = fleet.submit("e0", "job", count=1, length=0.2)
     fleet.run(4 * STEP)
     assert sum(starts(fleet).values()) == 1
@@ -41,8 +41,8 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_nothing_starts_before_the_entry_has_answered(fleet: Fleet) -> None:
-    """Its frames still come, but what the target says does not reach it."""
+def test_nothing_starts_before_the_entry_has_echoed(fleet: Fleet) -> None:
+    """The entry's frames reach the target, but the target's frames are lost."""
     fleet.submit("e0", "job", count=1, length=0.2)
     for name in fleet.targets:
         fleet.cut(name, "e0")
@@ -50,11 +50,11 @@
     assert sum(starts(fleet).values()) == 0
 
 
-def test_a_target_that_died_unseen_holds_a_task_up_for_no_longer_than_an_answer(
+def test_a_dead_idle_target_delays_a_task_no_longer_than_the_confirmation_timeout(
     fleet: Fleet,
 ) -> None:
     caller = fleet.submit("e0", "job", count=1, length=0.2)
-    dead = holder(fleet)
+    dead = target_with_task(fleet)
     fleet.freeze(dead)
     fleet.run(CONFIRMATION_SECONDS + 0.2 + 5 * STEP)
     assert fleet.answers[caller] == Completed()
@@ -62,9 +62,9 @@
     assert fleet.ends("task_returned") == ["job"]
 
 
-def test_a_target_that_did_not_answer_is_given_nothing_until_it_speaks(fleet: Fleet) -> None:
+def test_an_unconfirmed_target_is_assigned_nothing_until_it_sends_a_message(fleet: Fleet) -> None:
     fleet.submit("e0", "job", count=1, length=0.1)
-    dead = holder(fleet)
+    dead = target_with_task(fleet)
     fleet.freeze(dead)
     fleet.run(0.1)
     for number in range(5):
@@ -80,10 +80,10 @@
     assert starts(fleet)[dead] > 0
 
 
-def test_a_late_target_starts_nothing_of_what_was_withdrawn(fleet: Fleet) -> None:
-    """The link holds all up until the task runs elsewhere; then its frames come all at once."""
+def test_a_late_target_starts_no_withdrawn_task(fleet: Fleet) -> None:
+    """The entry's frames are delayed until the task runs elsewhere, and then all arrive at once."""
     caller = fleet.submit("e0", "job", count=1, length=0.6)
-    late = holder(fleet)
+    late = target_with_task(fleet)
     fleet.cut("e0", late)
     fleet.run(CONFIRMATION_SECONDS + 3 * STEP)
     fleet.heal()
@@ -94,8 +94,8 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_what_was_withdrawn_counts_as_no_try(fleet: Fleet) -> None:
-    """A job whose tasks never began may be refused as not run."""
+def test_a_withdrawn_run_does_not_count_as_a_retry(fleet: Fleet) -> None:
+    """A job whose tasks never started may still be refused."""
     for name in fleet.targets:
         fleet.freeze(name)
     fleet.submit("e0", "job", count=1, length=0.2)
@@ -105,8 +105,8 @@
     assert job.tasks[0].retries == job.tasks[0].losses == 0
 
 
-def test_what_may_have_begun_is_not_withdrawn() -> None:
-    """Right after an echo a target starts at once, and its silence says nothing."""
+def test_a_run_that_may_have_started_is_not_withdrawn() -> None:
+    """Right after an echo a target starts tasks at once, even if its replies are lost."""
     fleet = Fleet(entries=1, targets=1)
     fleet.settle()
     while not _is_lapsed(fleet, "t0"):
@@ -124,7 +124,7 @@
     assert len(fleet.runners["t0"].running) == 1
 
 
-def test_idle_sessions_send_a_frame_each_way_a_beat() -> None:
+def test_idle_sessions_send_one_frame_each_way_per_heartbeat() -> None:
     fleet = Fleet(entries=4, targets=4)
     fleet.settle()
     fleet.run(1.0)
@@ -135,21 +135,21 @@
     assert fleet.ends("session_ended") == []
 
 
-def test_a_held_session_is_kept_alive_for_as_long_as_its_run_lasts(fleet: Fleet) -> None:
+def test_a_session_with_a_placed_run_is_kept_alive_until_the_run_ends(fleet: Fleet) -> None:
     caller = fleet.submit("e0", "job", count=1, length=5.0, deadline=9.0)
     fleet.run(5.3)
     assert fleet.answers[caller] == Completed()
     assert sum(starts(fleet).values()) == 1
 
 
-def test_idle_sessions_last(fleet: Fleet) -> None:
+def test_idle_sessions_do_not_end(fleet: Fleet) -> None:
     fleet.run(20.0)
     assert fleet.ends("session_ended") == []
     assert fleet.ends("session_opened").count("") == 4
 
 
 @pytest.mark.parametrize("killed", ["entry", "target"])
-def test_an_idle_session_with_a_process_that_died_is_over_within_seconds(
+def test_an_idle_session_ends_after_its_timeout_if_either_process_dies(
     fleet: Fleet, killed: str
 ) -> None:
     fleet.kill("e0" if killed == "entry" else "t0")
@@ -160,16 +160,14 @@
         assert fleet.dispatchers["e0"].session("t0") is None
 
 
-@pytest.mark.parametrize("woken_by", ["check_confirmations", "place_new_jobs", "place_waiting"])
-def test_an_entry_that_stood_still_places_nothing_as_a_timer_wakes_it(
-    fleet: Fleet, woken_by: str
-) -> None:
-    """Its callers may have gone elsewhere meanwhile."""
+@pytest.mark.parametrize("method", ["check_confirmations", "place_new_jobs", "place_waiting"])
+def test_an_entry_places_nothing_after_a_pause_of_its_process(fleet: Fleet, method: str) -> None:
+    """Its callers may have resubmitted their jobs elsewhere."""
     dispatcher = fleet.dispatchers["e0"]
     caller = fleet.submit("e0", "job", count=1)
     fleet.step()
     late = fleet.now + fleet.times.session + 0.01
-    effects = getattr(dispatcher, woken_by)(late)
+    effects = getattr(dispatcher, method)(late)
     assert [e.outcome for e in effects if isinstance(e, AnswerJob)] == [GivenUp("stood_still")]
     assert not [e for e in effects if isinstance(e, Log) and e.event == "job_placed"]
     assert [e.caller for e in effects if isinstance(e, AnswerJob)] == [caller]
--- a/testing/core/leased/test_offers.py
+++ b/testing/core/leased/test_offers.py
@@ -1,4 +1,4 @@
-"""Whom a target offers its scarce room to."""
+"""The entry that a target offers its contended free resources to."""
 
 import pytest
 from paddleshunt_core.leased.offers import OFFER_SECONDS, Offers
@@ -16,30 +16,32 @@
     return offers
 
 
-def test_room_is_for_nobody_if_nobody_waits() -> None:
+def test_there_is_no_offer_if_no_entry_waits() -> None:
     assert Offers().offered_to(1.0, WIDE) is None
     assert Offers().expires_at() is None
 
 
-def test_the_most_urgent_task_that_fits_is_offered_room(offers: Offers) -> None:
+def test_the_offer_goes_to_the_most_urgent_task_that_fits(offers: Offers) -> None:
     assert offers.offered_to(1.0, WIDE) == "e1"
 
 
-def test_room_too_small_for_the_most_urgent_goes_to_the_next(offers: Offers) -> None:
+def test_resources_too_small_for_the_most_urgent_task_are_offered_to_the_next(
+    offers: Offers,
+) -> None:
     assert offers.offered_to(1.0, SMALL) == "e0"
 
 
-def test_room_that_fits_nobody_is_for_nobody(offers: Offers) -> None:
+def test_resources_too_small_for_every_task_are_not_offered(offers: Offers) -> None:
     assert offers.offered_to(1.0, Resources(500, 64)) is None
 
 
-def test_an_offer_stands_when_something_more_urgent_comes(offers: Offers) -> None:
+def test_an_offer_is_kept_when_a_more_urgent_request_comes(offers: Offers) -> None:
     offers.offered_to(1.0, WIDE)
     offers.want("e2", SMALL, 1.0)
     assert offers.offered_to(1.001, WIDE) == "e1"
 
 
-def test_an_offer_that_is_not_used_lapses_and_goes_to_the_next(offers: Offers) -> None:
+def test_an_unused_offer_expires_and_goes_to_the_next_entry(offers: Offers) -> None:
     offers.offered_to(1.0, WIDE)
     assert offers.expires_at() == 1.0 + OFFER_SECONDS
     assert offers.offered_to(1.0 + OFFER_SECONDS, WIDE) == "e0"
@@ -47,12 +49,12 @@
 
 
 @pytest.mark.parametrize("entry", ["e0", "e1"])
-def test_an_entry_that_had_its_turn_must_ask_again(offers: Offers, entry: str) -> None:
+def test_an_entry_whose_request_was_dropped_gets_no_offer(offers: Offers, entry: str) -> None:
     offers.offered_to(1.0, WIDE)
     offers.drop(entry)
     assert offers.offered_to(1.0, WIDE) == ({"e0", "e1"} - {entry}).pop()
 
 
-def test_an_offer_whose_room_has_shrunk_goes_to_one_that_fits(offers: Offers) -> None:
+def test_an_offer_moves_to_a_task_that_fits_when_the_free_resources_shrink(offers: Offers) -> None:
     offers.offered_to(1.0, WIDE)
     assert offers.offered_to(1.001, SMALL) == "e0"
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -1,4 +1,4 @@
-"""Which target a task goes to."""
+"""Choice of a target for each task."""
 
 from random import Random
 
@@ -41,7 +41,7 @@
     return found.name if found else ""
 
 
-def test_a_task_runs_where_its_data_lies() -> None:
+def test_a_task_is_placed_in_the_rack_of_its_data() -> None:
     busy = target("near", "a", "r1", free=Resources(2000, 8000))
     assert chosen(10.0, job(rack="r1"), target("far", "a", "r2"), busy) == "near"
 
@@ -49,9 +49,9 @@
 @pytest.mark.parametrize(
     ("after", "expected"),
     [(0.0, ""), (0.1, "far"), (0.15, ""), (0.4, "far")],
-    ids=["waits", "in-time-elsewhere", "in-time-only-there", "late-anyhow"],
+    ids=["early", "in-time-elsewhere", "in-time-only-in-rack", "late-anywhere"],
 )
-def test_a_task_waits_for_room_near_its_data_while_that_serves_it(
+def test_a_task_waits_for_its_datas_rack_while_it_can_end_in_time_there(
     after: float, expected: str
 ) -> None:
     near = target("near", "r1", free=FULL)
@@ -62,12 +62,12 @@
     assert chosen(10.0, job(rack="r9"), target("far", "r2")) == "far"
 
 
-def test_a_label_that_is_required_is_kept_to() -> None:
+def test_a_required_label_restricts_the_targets() -> None:
     assert chosen(10.0, job(label="b"), target("t1", "a"), target("t2", "b")) == "t2"
     assert chosen(10.0, job(label="b"), target("t1", "a")) == ""
 
 
-def test_no_runner_gets_more_of_a_jobs_tasks_than_allowed() -> None:
+def test_no_target_gets_more_of_a_jobs_tasks_than_its_spread_allows() -> None:
     asked = job(spread=1)
     only = target("t1")
     assert chosen(10.0, asked, only) == "t1"
@@ -90,8 +90,6 @@
     assert sorted(names) == ["t1", "t1", "t2", "t2"]
 
 
-# Hosts of several kinds.
-
 FAST, SLOW = 0.7, 1.7
 
 
@@ -104,49 +102,53 @@
     return record
 
 
-def patient(count: int = 2, length: float = 0.4) -> JobRecord:
-    """Return a job that ends in time on a slow host too, with time to spare."""
+def relaxed_job(count: int = 2, length: float = 0.4) -> JobRecord:
+    """Return a job that ends in time on a slow host too, with a margin."""
     queue = Queue("q", "host", "/q/", "svc", stretch=3.0, latency=0.06)
     return new_job(1, JobRequest("key", "spec", count, NEED, length, 9.0), queue, 10.0)
 
 
-def test_a_task_that_is_in_time_on_a_slow_host_leaves_the_fast_ones_free() -> None:
-    assert chosen(10.0, patient(), of_kind("fast", FAST), of_kind("slow", SLOW)) == "slow"
+def test_a_task_that_ends_in_time_on_a_slow_host_does_not_use_a_fast_one() -> None:
+    assert chosen(10.0, relaxed_job(), of_kind("fast", FAST), of_kind("slow", SLOW)) == "slow"
 
 
-def test_a_slow_host_that_is_much_fuller_is_passed_over() -> None:
+def test_a_much_more_loaded_slow_host_is_not_preferred() -> None:
     slow = of_kind("slow", SLOW, free=Resources(3000, 8000))
-    assert chosen(10.0, patient(), of_kind("fast", FAST), slow) == "fast"
+    assert chosen(10.0, relaxed_job(), of_kind("fast", FAST), slow) == "fast"
 
 
 @pytest.mark.parametrize(
     ("asked", "after"),
-    [(patient(count=32), 0.45), (patient(count=1), 0.6), (job(), 0.0)],
+    [(relaxed_job(count=32), 0.45), (relaxed_job(count=1), 0.6), (job(), 0.0)],
     ids=["wide", "urgent", "short-objective"],
 )
-def test_what_may_be_late_on_a_slow_host_goes_to_a_fast_one(asked: JobRecord, after: float) -> None:
+def test_a_task_that_may_be_late_on_a_slow_host_goes_to_a_fast_one(
+    asked: JobRecord, after: float
+) -> None:
     fast = of_kind("fast", FAST, free=Resources(3000, 8000))
     assert chosen(10.0 + after, asked, fast, of_kind("slow", SLOW)) == "fast"
 
 
-def test_the_same_job_with_few_tasks_goes_to_the_slow_host() -> None:
+def test_a_job_with_a_single_task_needs_less_margin_on_a_slow_host() -> None:
     fast = of_kind("fast", FAST, free=Resources(3000, 8000))
-    assert chosen(10.45, patient(count=1), fast, of_kind("slow", SLOW)) == "slow"
+    assert chosen(10.45, relaxed_job(count=1), fast, of_kind("slow", SLOW)) == "slow"
 
 
 @pytest.mark.parametrize(
     ("after", "expected"),
     [(0.0, ""), (0.2, ""), (0.6, "slow")],
-    ids=["in-time-on-a-fast-one", "still", "late-anyhow"],
+    ids=["early", "in-time-on-a-fast-one", "late-anywhere"],
 )
-def test_a_job_waits_for_a_fast_host_while_that_serves_it(after: float, expected: str) -> None:
+def test_a_job_waits_for_a_fast_host_while_it_can_end_in_time_there(
+    after: float, expected: str
+) -> None:
     full = of_kind("fast", FAST, free=FULL)
     assert chosen(10.0 + after, job(), full, of_kind("slow", SLOW)) == expected
 
 
 @pytest.mark.parametrize("after", [0.0, 0.05, 0.1, 0.2, 0.3, 0.45])
 @pytest.mark.parametrize("free", [FREE, FULL], ids=["room", "full"])
-def test_the_cheap_look_at_kinds_holds_no_job_that_would_be_placed(
+def test_should_wait_for_kind_agrees_with_the_choice_of_a_target(
     after: float, free: Resources
 ) -> None:
     targets = [of_kind("fast", FAST, free=free), of_kind("slow", SLOW)]
@@ -163,13 +165,14 @@
     return record
 
 
-def lame(record: TargetRecord) -> TargetRecord:
+def slowed(record: TargetRecord) -> TargetRecord:
+    """Make a target's runner three times as slow as its kind."""
     record.deviation = 3.0
     return record
 
 
 def large(record: TargetRecord) -> TargetRecord:
-    """Give a target the only room for a task of ten cores."""
+    """Make a target large enough for a task of ten cores."""
     room = Resources(12000, 12000)
     record.report = RunnerReport(
         "svc", record.name, RunnerState.READY, Health.GOOD, room, room, ("b",)
@@ -177,7 +180,7 @@
     return record
 
 
-def proving(record: TargetRecord) -> TargetRecord:
+def on_probation(record: TargetRecord) -> TargetRecord:
     assert record.report is not None
     record.report = msgspec.structs.replace(record.report, health=Health.PROBATION)
     return record
@@ -188,13 +191,13 @@
     [
         (job(label="b"), of_kind("fast", FAST, "a", free=FULL)),
         (job(need=Resources(10000, 10)), of_kind("fast", FAST, "a", free=FULL)),
-        (job(), proving(of_kind("fast", FAST, free=FULL))),
-        (job(), lame(of_kind("fast", FAST, free=FULL))),
+        (job(), on_probation(of_kind("fast", FAST, free=FULL))),
+        (job(), slowed(of_kind("fast", FAST, free=FULL))),
         (job(), cold(of_kind("fast", 1.1, free=FULL))),
     ],
-    ids=["label", "too-large-for-fast", "probation", "lame", "cold"],
+    ids=["label", "too-large-for-fast", "probation", "slowed", "cold"],
 )
-def test_no_job_is_held_for_a_fast_host_that_will_not_have_it(
+def test_no_job_is_held_for_a_fast_host_that_can_not_run_it_in_time(
     asked: JobRecord, fast: TargetRecord
 ) -> None:
     targets = [fast, large(of_kind("slow", SLOW, "b"))]
@@ -209,28 +212,25 @@
 @pytest.mark.parametrize(
     "asked", [job(label="b"), job(spread=1)], ids=["only-one-of-its-label", "spread"]
 )
-def test_a_job_is_not_held_for_a_kind_of_which_all_that_may_have_it_are_lame(
+def test_a_job_is_not_held_for_a_kind_whose_eligible_hosts_are_all_slowed(
     asked: JobRecord,
 ) -> None:
-    only, well = lame(of_kind("lame", FAST, "b")), of_kind("well", FAST, "a")
+    only, normal = slowed(of_kind("slowed", FAST, "b")), of_kind("normal", FAST, "a")
     if asked.request.spread:
-        asked.tasks[1].target, asked.tasks[1].phase = "well", TaskPhase.PLACED
-    assert chosen(10.0, asked, only, well) == "lame"
-
-
-# Cold runners.
+        asked.tasks[1].target, asked.tasks[1].phase = "normal", TaskPhase.PLACED
+    assert chosen(10.0, asked, only, normal) == "slowed"
 
 
 @pytest.mark.parametrize("after", [0.0, 0.02])
-def test_a_rack_whose_runners_with_room_are_cold_keeps_its_work(after: float) -> None:
+def test_a_task_stays_in_a_rack_whose_only_free_runner_is_cold(after: float) -> None:
     near, far = cold(target("near", "r1")), target("far", "r2")
-    assert chosen_far(10.0 + after, job(rack="r1"), 3.0, near, far) == "near"
+    assert chosen_with_factor(10.0 + after, job(rack="r1"), 3.0, near, far) == "near"
 
 
-def test_a_cold_runner_makes_no_choice_compare_records_field_by_field(
+def test_a_choice_with_a_cold_runner_does_not_compare_records_field_by_field(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With hundreds of targets each task would take a good part of a second."""
+    """Such comparisons are too slow with hundreds of targets."""
 
     def compared(one: object, other: object) -> bool:
         raise AssertionError(one, other)
@@ -239,22 +239,22 @@
     assert chosen(10.0, job(), cold(target("cold")), target("t1"), target("t2")) in ("t1", "t2")
 
 
-def test_a_warm_runner_goes_first_in_a_rack() -> None:
+def test_a_warm_runner_is_preferred_in_a_rack() -> None:
     warm = target("warm", "r1", free=Resources(1000, 8000))
-    assert chosen_far(10.0, job(rack="r1"), 3.0, cold(target("cold", "r1")), warm) == "warm"
+    assert chosen_with_factor(10.0, job(rack="r1"), 3.0, cold(target("cold", "r1")), warm) == "warm"
 
 
-def test_a_cold_fast_host_where_a_task_is_in_time_beats_a_warm_slow_one_where_it_is_not() -> None:
+def test_a_cold_fast_host_is_chosen_if_a_task_is_late_on_the_warm_slow_one() -> None:
     fast, slow = cold(of_kind("fast", FAST)), of_kind("slow", SLOW)
     assert chosen(10.1, job(), fast, slow) == "fast"
 
 
-def test_a_warm_slow_host_where_a_task_is_in_time_goes_before_a_cold_fast_one() -> None:
+def test_a_warm_slow_host_is_chosen_before_a_cold_fast_one_if_a_task_ends_in_time() -> None:
     fast, slow = cold(of_kind("fast", FAST)), of_kind("slow", SLOW)
-    assert chosen(10.0, patient(count=1), fast, slow) == "slow"
+    assert chosen(10.0, relaxed_job(count=1), fast, slow) == "slow"
 
 
-def test_a_job_with_a_task_that_is_late_on_a_slow_host_leaves_the_fast_ones_free() -> None:
+def test_a_job_with_a_late_task_on_a_slow_host_does_not_use_fast_ones() -> None:
     asked = job()
     asked.tasks[1].target = "slow"
     asked.tasks[1].phase = TaskPhase.PLACED
@@ -264,27 +264,24 @@
     assert chosen(10.3, job(), fast, slow) == "fast"
 
 
-def test_a_late_job_is_not_sent_where_its_answer_would_be_of_no_use() -> None:
+def test_a_late_job_is_not_placed_where_its_answer_would_be_of_no_use() -> None:
     fast, slow = of_kind("fast", FAST), of_kind("slow", 6.0)
     assert chosen(10.8, job(), fast, slow) == "fast"
 
 
-def test_a_runner_that_differs_from_its_kind_counts_as_what_it_is() -> None:
-    lame = of_kind("lame", FAST)
-    lame.deviation = 3.0
+def test_a_runner_slower_than_its_kind_is_chosen_by_its_own_speed() -> None:
+    slow = of_kind("slow", FAST)
+    slow.deviation = 3.0
     busy = of_kind("fast", FAST, free=Resources(1000, 8000))
-    assert chosen(10.0, job(), lame, busy) == "fast"
-
-
-# Halls.
+    assert chosen(10.0, job(), slow, busy) == "fast"
 
 
 @pytest.mark.parametrize(
     ("preference", "free", "expected"),
     [(0.0, 6000, "there"), (0.4, 6000, "here"), (0.4, 3000, "there")],
-    ids=["ways-are-free", "ways-are-dear", "clearly-fuller"],
+    ids=["no-preference", "own-hall-preferred", "own-hall-much-fuller"],
 )
-def test_a_way_between_halls_is_taken_for_room_that_is_worth_it(
+def test_a_target_in_another_hall_is_chosen_only_if_its_load_is_much_lower(
     preference: float, free: int, expected: str
 ) -> None:
     here = of_kind("here", 1.0, free=Resources(free, 8000))
@@ -310,10 +307,7 @@
     assert len(names) == 1
 
 
-# Racks far from all else.
-
-
-def chosen_far(now: float, asked: JobRecord, factor: float, *targets: TargetRecord) -> str:
+def chosen_with_factor(now: float, asked: JobRecord, factor: float, *targets: TargetRecord) -> str:
     placement = Placement("hall", Random(1), factor)
     eligible = placement.eligible(asked, list(targets))
     found = placement.choose(now, asked, asked.tasks[0], eligible) if eligible else None
@@ -323,27 +317,27 @@
 @pytest.mark.parametrize(
     ("after", "factor", "expected"),
     [(0.0, 3.0, ""), (0.25, 3.0, ""), (0.35, 3.0, "far"), (0.35, 30.0, "")],
-    ids=["in-time-there", "just-in-time-there", "late-anyhow", "of-no-use-elsewhere"],
+    ids=["in-time-in-rack", "just-in-time-in-rack", "late-anywhere", "of-no-use-elsewhere"],
 )
-def test_a_task_does_not_leave_a_full_rack_for_a_place_where_it_is_late(
+def test_a_task_waits_for_a_full_rack_if_it_would_be_late_elsewhere(
     after: float, factor: float, expected: str
 ) -> None:
     near = target("near", "r1", free=FULL)
-    found = chosen_far(10.0 + after, job(rack="r1"), factor, near, target("far", "r2"))
+    found = chosen_with_factor(10.0 + after, job(rack="r1"), factor, near, target("far", "r2"))
     assert found == expected
 
 
-def test_a_fast_host_elsewhere_beats_a_slow_one_in_the_rack_if_it_ends_sooner() -> None:
+def test_a_fast_host_elsewhere_is_chosen_if_the_task_ends_sooner_than_in_the_rack() -> None:
     near, far = of_kind("near", 2.5, "r1"), of_kind("far", FAST, "r2")
-    assert chosen_far(10.2, job(rack="r1"), 1.5, near, far) == "far"
-    assert chosen_far(10.2, job(rack="r1"), 9.0, near, far) == "near"
+    assert chosen_with_factor(10.2, job(rack="r1"), 1.5, near, far) == "far"
+    assert chosen_with_factor(10.2, job(rack="r1"), 9.0, near, far) == "near"
 
 
-def test_once_a_task_runs_elsewhere_the_others_wait_for_the_rack_as_long_as_it_takes() -> None:
+def test_the_other_tasks_wait_for_the_rack_until_a_remote_task_of_the_job_ends() -> None:
     asked = job(rack="r1")
     asked.tasks[1].target = "far"
     asked.tasks[1].phase = TaskPhase.PLACED
     asked.tasks[1].placed_at = 10.35
     near, far = target("near", "r1", free=FULL), target("far", "r2")
-    assert chosen_far(10.6, asked, 2.0, near, far) == ""
-    assert chosen_far(10.9, asked, 2.0, near, far) == "far"
+    assert chosen_with_factor(10.6, asked, 2.0, near, far) == ""
+    assert chosen_with_factor(10.9, asked, 2.0, near, far) == "far"
--- a/testing/core/leased/test_queueindex.py
+++ b/testing/core/leased/test_queueindex.py
@@ -1,4 +1,4 @@
-"""Which queue a request is of."""
+"""Lookup of a request's queue by host and path."""
 
 import pytest
 from paddleshunt_core.leased.catalog import Catalog, Queue
@@ -27,12 +27,14 @@
         ("c.example", "/q/1", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_decides(host: str, path: str, name: str | None) -> None:
+def test_the_queue_with_the_longest_matching_prefix_is_found(
+    host: str, path: str, name: str | None
+) -> None:
     queue = QueueIndex(CATALOG).find(host, path)
     assert (queue and queue.name) == name
 
 
-def test_it_knows_which_configuration_it_is_of() -> None:
+def test_is_of_compares_the_identity_of_the_configuration() -> None:
     index = QueueIndex(CATALOG)
     assert index.is_of(CATALOG)
     assert not index.is_of(Catalog(1, [], []))
--- a/testing/core/leased/test_retries.py
+++ b/testing/core/leased/test_retries.py
@@ -1,4 +1,4 @@
-"""When a job is given up for what its tasks have cost so far."""
+"""Limits of retries after which a job is given up."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,7 @@
 from paddleshunt_core.leased.wire import LossId, RunnerLost, RunnerReturned, RunnerSilent, TaskId
 
 QUEUE = Queue("q", "host", "/q/", "svc")
-Word = Callable[[int, JobRecord], RunnerLost]
+MakeNews = Callable[[int, JobRecord], RunnerLost]
 
 
 @pytest.fixture
@@ -30,38 +30,40 @@
     return new_job(1, JobRequest("job", "spec", 2, Resources(1000), 0.4, 4.0), QUEUE, 0.0)
 
 
-def loss(number: int, job: JobRecord) -> RunnerLost:
+def silent(number: int, job: JobRecord) -> RunnerLost:
+    """Return the loss of a runner that may still be running."""
     return RunnerLost(LossId(f"i-{number}", number), [job.tasks[1].id])
 
 
-def end(number: int, job: JobRecord) -> RunnerLost:
-    return replace(loss(number, job), ended=[job.tasks[1].id])
+def ended(number: int, job: JobRecord) -> RunnerLost:
+    """Return the loss of a runner whose incarnation is known to have ended."""
+    return replace(silent(number, job), ended=[job.tasks[1].id])
 
 
 @pytest.mark.parametrize("runners", range(MAX_LOST_RUNNERS + 1))
 @pytest.mark.parametrize(
-    ("word", "given_up"), [(loss, GivenUp(SILENT_RUNNERS)), (end, GivenUp(ENDED_RUNNERS))]
+    ("make_news", "given_up"), [(silent, GivenUp(SILENT_RUNNERS)), (ended, GivenUp(ENDED_RUNNERS))]
 )
 def test_a_job_is_given_up_once_enough_runners_were_lost_under_a_task(
-    word: Word, given_up: GivenUp, runners: int, job: JobRecord
+    make_news: MakeNews, given_up: GivenUp, runners: int, job: JobRecord
 ) -> None:
-    """What became of its run on one that has ended nobody knows either: it has not failed."""
+    """It is not failed: its runs may have succeeded before their runners were lost."""
     retries = Retries()
     for number in range(runners):
-        retries.learn(1.0, word(number, job), "t")
+        retries.learn(1.0, make_news(number, job), "t")
     assert retries.outcome(5.0, job) == (given_up if runners >= MAX_LOST_RUNNERS else None)
 
 
-@pytest.mark.parametrize("last", [loss, end])
-def test_a_silent_runner_beside_one_that_ended_leaves_the_outcome_unknown(
-    last: Word, job: JobRecord
+@pytest.mark.parametrize("last", [silent, ended])
+def test_a_job_with_a_silent_and_an_ended_runner_is_given_up_for_silent_runners(
+    last: MakeNews, job: JobRecord
 ) -> None:
     retries = Retries()
-    retries.learn(1.0, end(0, job), "t")
-    retries.learn(1.0, loss(1, job), "t")
+    retries.learn(1.0, ended(0, job), "t")
+    retries.learn(1.0, silent(1, job), "t")
     assert retries.outcome(5.0, job) == GivenUp(SILENT_RUNNERS)
     retries.learn(4.0, last(1, job), "t")
-    known = GivenUp(ENDED_RUNNERS) if last is end else GivenUp(SILENT_RUNNERS)
+    known = GivenUp(ENDED_RUNNERS) if last is ended else GivenUp(SILENT_RUNNERS)
     assert retries.outcome(5.0, job) == known
 
 
@@ -73,25 +75,25 @@
         pytest.param(1, MAX_LOST_RUNS - 1, GivenUp(LOST_SESSIONS), id="one_runner"),
     ],
 )
-def test_lost_sessions_count_beside_a_runner_that_was_seen_lost(
+def test_lost_sessions_count_only_together_with_a_lost_runner(
     runners: int, sessions: int, outcome: GivenUp | None, job: JobRecord
 ) -> None:
     retries = Retries()
     job.tasks[1].losses = sessions
     for number in range(runners):
-        retries.learn(1.0, loss(number, job), "t")
+        retries.learn(1.0, silent(number, job), "t")
     assert retries.outcome(5.0, job) == outcome
 
 
-def test_a_runner_that_is_only_silent_counts_for_nothing(job: JobRecord) -> None:
+def test_runner_silent_messages_do_not_count(job: JobRecord) -> None:
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
-        silent = RunnerSilent(LossId(f"i-{number}", number), [job.tasks[1].id], ["q"], [10])
-        assert retries.learn(1.0, silent, "t") == []
+        news = RunnerSilent(LossId(f"i-{number}", number), [job.tasks[1].id], ["q"], [10])
+        assert retries.learn(1.0, news, "t") == []
     assert retries.outcome(5.0, job) is None
 
 
-def test_each_way_back_counts_against_one_bound(job: JobRecord) -> None:
+def test_a_job_is_given_up_after_the_maximum_of_retries(job: JobRecord) -> None:
     retries = Retries()
     job.tasks[0].retries = MAX_RETRIES - 1
     assert retries.outcome(5.0, job) is None
@@ -99,27 +101,27 @@
     assert retries.outcome(5.0, job) == GivenUp(RETRIES)
 
 
-def test_a_runner_that_answers_again_gives_the_job_its_try_back(job: JobRecord) -> None:
+def test_a_runner_that_returns_no_longer_counts_as_lost(job: JobRecord) -> None:
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
-        retries.learn(1.0, loss(number, job), "t")
+        retries.learn(1.0, silent(number, job), "t")
     assert retries.learn(1.1, RunnerReturned(LossId("i-0", 0)), "t")
     assert retries.outcome(5.0, job) is None
 
 
-def test_a_task_that_has_ended_well_is_held_against_nobody(job: JobRecord) -> None:
-    """A loss under an earlier run of it may be told late, as it happened behind a cut."""
+def test_losses_under_a_task_that_is_done_do_not_count(job: JobRecord) -> None:
+    """A network partition may delay the news of a loss under an earlier run of it."""
     retries = Retries()
     job.tasks[1].phase = TaskPhase.DONE
     for number in range(MAX_LOST_RUNNERS):
-        retries.learn(1.0, loss(number, job), "t")
+        retries.learn(1.0, silent(number, job), "t")
     assert retries.outcome(5.0, job) is None
 
 
-def test_the_line_names_the_runners_that_the_task_took_down(job: JobRecord) -> None:
+def test_the_log_line_names_the_runners_lost_under_the_task(job: JobRecord) -> None:
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
-        retries.learn(1.0, loss(number, job), "t")
+        retries.learn(1.0, silent(number, job), "t")
     outcome = retries.outcome(5.0, job)
     assert outcome is not None
     line = retries.note_given_up(job, outcome)
@@ -139,35 +141,36 @@
         pytest.param(["job", "other"], 0, id="beside_one_of_its_own"),
     ],
 )
-def test_one_loss_beside_others_is_not_held_against_a_task(
+def test_only_one_loss_that_is_correlated_with_others_is_excused(
     beside: list[str], shared: int, losses: int, job: JobRecord
 ) -> None:
-    """Whatever else is lost beside it, the second such loss counts."""
     retries = Retries()
     for number in range(losses):
         for each, key in enumerate(beside):
             other = RunnerLost(LossId(f"j-{number}-{each}", 1), [TaskId(key, 0, 0)])
             retries.learn(1.0 + number, other, "t")
-        retries.learn(1.1 + number, loss(number, job), "t")
+        retries.learn(1.1 + number, silent(number, job), "t")
     given_up = GivenUp(SILENT_RUNNERS) if losses - shared >= MAX_LOST_RUNNERS else None
     assert retries.outcome(5.0, job) == given_up
 
 
-def test_a_loss_counts_no_longer_than_it_is_remembered(job: JobRecord) -> None:
-    """Also where no further word comes."""
+def test_a_loss_stops_counting_when_it_expires(job: JobRecord) -> None:
+    """It expires by time, without further news."""
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
-        retries.learn(1.0, loss(number, job), "t")
+        retries.learn(1.0, silent(number, job), "t")
     assert retries.outcome(0.9 + KEEP_SECONDS, job) == GivenUp(SILENT_RUNNERS)
     assert retries.outcome(1.0 + KEEP_SECONDS, job) is None
 
 
-@pytest.mark.parametrize(("word", "kept"), [(loss, False), (end, True)], ids=["silent", "ended"])
-def test_lives_that_ended_are_remembered_while_their_job_is_handed_in(
-    word: Word, kept: bool, job: JobRecord
+@pytest.mark.parametrize(
+    ("make_news", "kept"), [(silent, False), (ended, True)], ids=["silent", "ended"]
+)
+def test_ended_runners_are_remembered_while_their_job_is_resubmitted(
+    make_news: MakeNews, kept: bool, job: JobRecord
 ) -> None:
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
-        retries.learn(1.0, word(number, job), "t")
+        retries.learn(1.0, make_news(number, job), "t")
     assert retries.outcome_on_submit(50.0, job) is not None
     assert (retries.outcome_on_submit(70.0, job) is not None) == kept
--- a/testing/core/leased/test_done_unheard.py
+++ b/testing/core/leased/test_unreported_completions.py
@@ -1,9 +1,4 @@
-"""A run that is done while nobody hears it, before its runner ends: it was not at work at the end.
-
-Seen in the soak of the real programs: of one job a run was done some milliseconds before its runner
-was taken down by another task; the last look had shown it at work, and another life answered later.
-With one more runner that ended under it, the job was told to have failed.
-"""
+"""Runs that succeed unreported just before their runner crashes must not make their job fail."""
 
 import pytest
 from leasedfleet import Fleet
@@ -17,8 +12,8 @@
     return fleet
 
 
-def end_unheard(fleet: Fleet) -> None:
-    """Let a run be done while its runner's answers are lost, and crash the runner at once."""
+def complete_unreported(fleet: Fleet) -> None:
+    """Let a run complete while its runner's answers are lost, and crash the runner at once."""
     runner = wait_for_work(fleet)
     runner.mute = True
     fleet.run(0.1)
@@ -29,22 +24,22 @@
 
 
 def wait_for_work(fleet: Fleet) -> Runner:
-    """Let time pass until a run is nearly done; return its runner."""
+    """Run the fleet until a run is nearly done; return its runner."""
     for _ in range(400):
         fleet.step()
         for runner in fleet.runners.values():
             if any(task.done > 0.25 for task in runner.running.values()):
                 return runner
-    raise AssertionError("nothing ran")
+    raise AssertionError("no run came near its end within 400 steps")
 
 
-def test_a_job_whose_runs_were_done_before_their_runners_ended_has_not_failed(
+def test_a_job_whose_runs_completed_before_their_runners_crashed_has_not_failed(
     fleet: Fleet,
 ) -> None:
     fleet.submit("e0", "job", count=1, length=0.3, deadline=20.0)
     for _ in range(2):
-        end_unheard(fleet)
+        complete_unreported(fleet)
     fleet.run(5.0)
-    # The fleet checks that nobody is told failed for this.
+    # The fleet itself checks that no job is answered as failed without failed tasks.
     fleet.submit("e0", "job", count=1, length=0.3)
     fleet.run(0.1)
--- a/testing/core/leased/test_wants.py
+++ b/testing/core/leased/test_wants.py
@@ -1,4 +1,4 @@
-"""What targets are told of the tasks that wait at an entry."""
+"""`Want` and `Decline` messages that an entry sends to its targets."""
 
 import msgspec
 import pytest
@@ -28,64 +28,64 @@
     return new_job(1, JobRequest(key, "spec", 2, NEED, 0.5, 4.0, label=label), QUEUE, at)
 
 
-def told(record: TargetRecord) -> list[Want]:
+def sent_wants(record: TargetRecord) -> list[Want]:
     assert record.session is not None
     bodies = record.session.frame(0).bodies
     return [body for body in bodies if isinstance(body, Want)]
 
 
-def test_all_targets_of_the_service_are_told_of_the_job_that_waits() -> None:
+def test_all_targets_of_the_service_are_sent_the_waiting_job() -> None:
     ours, other = target("t0"), target("t1", service="other")
     Wants().send(1.0, {"svc": waiting()}, [ours, other], [])
-    # It must start 0.36 s after it came: 1.6 times 0.5 s, and 0.06 s, less its length.
-    assert told(ours) == [Want(NEED, 360)]
-    assert told(other) == []
+    # It must start 0.36 s after its arrival: 1.6 * 0.5 s + 0.06 s, less its length of 0.5 s.
+    assert sent_wants(ours) == [Want(NEED, 360)]
+    assert sent_wants(other) == []
 
 
-def test_nothing_is_told_while_nothing_waits() -> None:
+def test_nothing_is_sent_while_no_job_waits() -> None:
     ours = target("t0")
     Wants().send(1.0, {}, [ours], [])
-    assert told(ours) == []
+    assert sent_wants(ours) == []
 
 
-def test_a_target_is_told_of_a_job_once_and_again_after_a_while() -> None:
+def test_a_job_is_sent_once_and_repeated_after_an_interval() -> None:
     ours, wants, job = target("t0"), Wants(), waiting()
     wants.send(1.0, {"svc": job}, [ours], [])
     wants.send(1.0 + 2 * MIN_INTERVAL_SECONDS, {"svc": job}, [ours], [])
-    assert len(told(ours)) == 1
+    assert len(sent_wants(ours)) == 1
     wants.send(1.0 + REPEAT_SECONDS + 0.01, {"svc": job}, [ours], [])
-    assert len(told(ours)) == 1
+    assert len(sent_wants(ours)) == 1
 
 
-def test_rounds_are_apart_but_a_target_that_was_sent_tasks_is_told_at_once() -> None:
+def test_a_target_that_was_assigned_tasks_is_sent_to_between_rounds() -> None:
     first, second, wants = target("t0"), target("t1"), Wants()
     wants.send(1.0, {"svc": waiting("a")}, [first, second], [])
-    told(first), told(second)
+    sent_wants(first), sent_wants(second)
     wants.send(1.001, {"svc": waiting("b")}, [first, second], [first])
-    assert len(told(first)) == 1
-    assert told(second) == []
+    assert len(sent_wants(first)) == 1
+    assert sent_wants(second) == []
     wants.send(1.0 + 2 * MIN_INTERVAL_SECONDS, {"svc": waiting("b")}, [first, second], [])
-    assert len(told(second)) == 1
+    assert len(sent_wants(second)) == 1
 
 
-def test_a_job_that_is_late_already_goes_behind_all_others() -> None:
+def test_a_late_job_is_sent_with_a_low_urgency() -> None:
     ours = target("t0")
     Wants().send(9.0, {"svc": waiting(at=1.0)}, [ours], [])
-    assert told(ours) == [Want(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
+    assert sent_wants(ours) == [Want(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
 
 
 @pytest.mark.parametrize(("labels", "count"), [((), 0), (("big",), 1)], ids=["without", "with"])
-def test_only_targets_that_may_run_the_job_are_told(labels: tuple[str, ...], count: int) -> None:
+def test_only_targets_that_can_run_the_job_are_sent_to(labels: tuple[str, ...], count: int) -> None:
     ours = target("t0", labels=labels)
     Wants().send(1.0, {"svc": waiting(label="big")}, [ours], [])
-    assert len(told(ours)) == count
+    assert len(sent_wants(ours)) == count
 
 
-def test_room_that_is_offered_and_not_used_is_declined() -> None:
+def test_an_unused_offer_is_declined() -> None:
     offering, used, wants = target("t0"), target("t1"), Wants()
     wants.send(1.0, {"svc": waiting()}, [offering, used], [])
     for record in (offering, used):
-        told(record)
+        sent_wants(record)
         assert record.report is not None
         record.report = msgspec.structs.replace(record.report, free=NEED)
     for record in (offering, used):
@@ -96,10 +96,10 @@
     assert used.session.frame(0).bodies == []
 
 
-def test_room_too_small_for_what_is_wanted_is_no_offer() -> None:
+def test_a_report_of_too_few_free_resources_is_not_declined() -> None:
     ours, wants = target("t0"), Wants()
     wants.send(1.0, {"svc": waiting()}, [ours], [])
-    told(ours)
+    sent_wants(ours)
     assert ours.report is not None and ours.session is not None
     ours.report = msgspec.structs.replace(ours.report, free=Resources(500, 64))
     wants.record_report(ours)
