--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -270,7 +270,7 @@
         """Return the remembered losses of runners, to send to an entry that has just connected."""
         return self._retries.known_losses(now)
 
-    def handle_loss_news(self, now: float, news: LossNews, source: str) -> list[Effect]:
+    def handle_loss_update(self, now: float, news: LossNews, source: str) -> list[Effect]:
         """Record news of a lost runner, and give up jobs that have used up their retries.
 
         News from a target is broadcast to the other entries; news from an entry is not, or it would
@@ -310,7 +310,7 @@
         """The known relative speeds of the kinds of hosts."""
         return self._speeds
 
-    def handle_speed_news(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
+    def handle_speed_update(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
         """Adopt the speeds of kinds of hosts for which another entry has much more data."""
         adopted = self._speeds.told(news)
         if adopted:
@@ -582,7 +582,7 @@
             case EvacuationNews():
                 return self.handle_evacuations(now, body.evacuated, target.name)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
-                return self.handle_loss_news(now, body, target.name)
+                return self.handle_loss_update(now, body, target.name)
             case Ended():
                 effects: list[Effect] = []
                 for run, end in body.ends:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -365,7 +365,7 @@
 
     def told_loss(self, news: LossNews, source: str) -> None:
         """Take another entry's word on a lost runner."""
-        self._act(self._dispatcher.handle_loss_news(self._now(), news, source))
+        self._act(self._dispatcher.handle_loss_update(self._now(), news, source))
 
     @property
     def speeds(self) -> Speeds:
@@ -374,7 +374,7 @@
 
     def told_speeds(self, news: SpeedNews, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
-        self._act(self._dispatcher.handle_speed_news(self._now(), news, source))
+        self._act(self._dispatcher.handle_speed_update(self._now(), news, source))
 
     def targets_held(self) -> int:
         """Return how many targets are in session, for other entries."""
--- a/testing/core/leased/test_kinds.py
+++ b/testing/core/leased/test_kinds.py
@@ -94,7 +94,7 @@
 
 def test_an_entrys_nonsense_is_outweighed_by_four_hundred_jobs(fleet: Fleet) -> None:
     nonsense = SpeedNews([KindSpeed("svc", "a", 10**9, 10**9), KindSpeed("svc", "b", 1, 10**9)])
-    fleet.dispatchers["e0"].handle_speed_news(fleet.now, nonsense, "e1")
+    fleet.dispatchers["e0"].handle_speed_update(fleet.now, nonsense, "e1")
     fleet.kill("e1")
     work(fleet, 40.0, "j")
     assert ratio(fleet, "e0") > 1.25
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -493,7 +493,7 @@
         for other, node in self.entries.items():
             if other != name and node.moves:
                 dispatcher = self.dispatchers[other]
-                self._act_entry(other, dispatcher.handle_loss_news(self.now, effect.news, name))
+                self._act_entry(other, dispatcher.handle_loss_update(self.now, effect.news, name))
 
     def _tell_speeds(self) -> None:
         for name, node in self.entries.items():
@@ -505,7 +505,7 @@
     def _hear_speeds(self, name: str, news: SpeedNews | None, source: str) -> None:
         if news is not None:
             dispatcher = self.dispatchers[name]
-            self._act_entry(name, dispatcher.handle_speed_news(self.now, news, source))
+            self._act_entry(name, dispatcher.handle_speed_update(self.now, news, source))
 
     def _note(self, log: object) -> None:
         self.events.append((self.now, log.event, log.submission))  # type: ignore[attr-defined]
