--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
@@ -33,7 +33,7 @@
         self._offered: str | None = None
         self._offered_at = 0.0
 
-    def want(self, entry: str, need: Resources, urgent_at: float) -> None:
+    def request(self, entry: str, need: Resources, urgent_at: float) -> None:
         """Record an entry's request, which replaces its previous one."""
         self._requests[entry] = _Request(need, urgent_at)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -364,7 +364,7 @@
             case EvacuationNews():
                 return self._learn(entry, body)
             case Want():
-                self._offers.want(entry, body.need, now + body.within_ms / 1000)
+                self._offers.request(entry, body.need, now + body.within_ms / 1000)
             case Stop():
                 self._links[entry].withdraw(body.runs)
                 return [
--- a/testing/core/leased/test_offers.py
+++ b/testing/core/leased/test_offers.py
@@ -11,8 +11,8 @@
 @pytest.fixture
 def offers() -> Offers:
     offers = Offers()
-    offers.want("e0", SMALL, 5.0)
-    offers.want("e1", WIDE, 3.0)
+    offers.request("e0", SMALL, 5.0)
+    offers.request("e1", WIDE, 3.0)
     return offers
 
 
@@ -37,7 +37,7 @@
 
 def test_an_offer_is_kept_when_a_more_urgent_request_comes(offers: Offers) -> None:
     offers.offered_to(1.0, WIDE)
-    offers.want("e2", SMALL, 1.0)
+    offers.request("e2", SMALL, 1.0)
     assert offers.offered_to(1.001, WIDE) == "e1"
 
 
