--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
@@ -66,7 +66,7 @@
     return ahead / max(1, capacity)
 
 
-def capacity_note(now: float, job: JobRecord, wait: float, snapshot: RoomNow) -> Log:
+def capacity_log(now: float, job: JobRecord, wait: float, snapshot: RoomNow) -> Log:
     """Return the log line with the known capacity on which a job's refusal is based."""
     usable = snapshot.usable(job.queue.service)
     fields: dict[str, str | int | float] = {
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.admission import (
     NO_TARGET_WAIT,
     RETRY_SECONDS,
-    capacity_note,
+    capacity_log,
     expected_wait,
     has_capacity,
     refusal,
@@ -44,13 +44,13 @@
     Refused,
 )
 from paddleshunt_core.leased.placement import Placement
+from paddleshunt_core.leased.resourcerequests import ResourceRequests
 from paddleshunt_core.leased.retries import Retries
 from paddleshunt_core.leased.room import RoomNow
 from paddleshunt_core.leased.session import Session, good_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
 from paddleshunt_core.leased.standstill import THAW_SECONDS, StandStill
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wants import Wants
 from paddleshunt_core.leased.wire import (
     Body,
     End,
@@ -119,7 +119,7 @@
         self._jobs = JobTable()
         self._targets: dict[str, TargetRecord] = {}
         self._estimator = Lessons(self._placement, self._speeds)
-        self._wants = Wants()
+        self._resource_requests = ResourceRequests()
         self._liveness = LivenessChecks(times, self._jobs)
         self._evacuations = Evacuations()
         self._placement_due = False
@@ -127,7 +127,7 @@
         self._sessions = 0
         self._first_session_at: float | None = None
         """When the first session with a target was opened."""
-        self._pause_detector = StandStill(times.session)
+        self._pauses = StandStill(times.session)
         self._exit_at: float | None = None
         """When this process exits, if it is leaving."""
         self.new_job_refusal: Refused | None = None
@@ -178,7 +178,7 @@
     def submit(self, now: float, caller: int, request: JobRequest, queue: Queue) -> list[Effect]:
         """Admit a job, or refuse it."""
         effects = self._handle_pause(now)
-        if self._pause_detector.just_ended(now):
+        if self._pauses.just_ended(now):
             stood_still = Refused("stood_still", THAW_SECONDS)
             return [*effects, self._refuse(caller, request, stood_still)]
         existing = self._jobs.by_key(request.key)
@@ -192,7 +192,7 @@
         job.caller_confirmed = self._caller_delay == 0
         given_up = self._retries.outcome_on_submit(now, job)
         if given_up is not None:
-            why = self._retries.note_given_up(job, given_up)
+            why = self._retries.given_up_log(job, given_up)
             return [*effects, why, AnswerJob(caller, request.key, given_up, 0.0)]
         snapshot = self._snapshot(now)
         effects += self._containment.serves(now, queue, self._open_targets)
@@ -212,7 +212,7 @@
             return [*effects, self._refuse(caller, request, leaving)]
         refused = refusal(now, job, wait, self._last_start(now, job), has_capacity=fits_now)
         if refused is not None:
-            why = capacity_note(now, job, wait, snapshot)
+            why = capacity_log(now, job, wait, snapshot)
             return [*effects, why, self._refuse(caller, request, refused)]
         self._jobs.add(job)
         fields: dict[str, str | int | float] = {
@@ -300,7 +300,7 @@
         outcome = self._retries.outcome(now, job)
         if outcome is None:
             return []
-        why = self._retries.note_given_up(job, outcome)
+        why = self._retries.given_up_log(job, outcome)
         return [why, self._answer(now, job, outcome)]
 
     # Speeds of hosts.
@@ -455,7 +455,7 @@
         if not job.begun and now > last_start:
             snapshot = self._snapshot(now)
             wait = self._expected_wait(job, snapshot)
-            why = capacity_note(now, job, wait, snapshot)
+            why = capacity_log(now, job, wait, snapshot)
             return [why, self._give_up(now, job, "no_room", max(RETRY_SECONDS, wait))]
         if not job.begun and confined_snapshot is not None:
             confined = self._containment.refuses(job, confined_snapshot)
@@ -499,7 +499,7 @@
 
     def _handle_pause(self, now: float) -> list[Effect]:
         """Give up all jobs after a pause of this process: callers may have gone elsewhere."""
-        seconds = self._pause_detector.moved(now)
+        seconds = self._pauses.moved(now)
         if not seconds:
             return []
         fields: dict[str, str | int | float] = {
@@ -577,7 +577,7 @@
                 target.drop_covered(frame)
                 target.take_report(now, body)
                 self._speeds.reported(target)
-                self._wants.record_report(target)
+                self._resource_requests.record_report(target)
                 self._sync_evacuation(target, body)
             case EvacuationNews():
                 return self.handle_evacuations(now, body.evacuated, target.name)
@@ -667,5 +667,5 @@
         self._liveness.expect_confirmations(now, self._assigner.assigned)
         self._placement_due = False
         heads = self._assigner.heads
-        self._wants.send(now, heads, self._open_targets(), self._assigner.assigned)
+        self._resource_requests.send(now, heads, self._open_targets(), self._assigner.assigned)
         return list(logs)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
@@ -69,7 +69,7 @@
         for run, task in unstarted.items():
             target.placed.discard(run)
             task.phase = TaskPhase.WAITING
-            logs.append(_returned_note(target, run, task))
+            logs.append(_returned_log(target, run, task))
         return logs
 
     def _task(self, run: RunId, target: TargetRecord) -> TaskRecord | None:
@@ -80,7 +80,7 @@
         return None if target.may_have_started(self._times, task.placed_at) else task
 
 
-def _returned_note(target: TargetRecord, run: RunId, task: TaskRecord) -> Log:
+def _returned_log(target: TargetRecord, run: RunId, task: TaskRecord) -> Log:
     fields: dict[str, str | int | float] = {
         "index": run.task.index,
         "target": target.name,
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wants.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/resourcerequests.py
@@ -14,12 +14,12 @@
 """Minimum seconds between two rounds for each target sent to, to limit an entry's CPU time."""
 
 REPEAT_SECONDS = 0.1
-"""Seconds after which a `Want` is sent again, as the offer may have expired unseen."""
+"""Seconds after which a request is sent again, as the offer may have expired unused."""
 
 
 @final
-class Wants:
-    """Sends an entry's `Want` and `Decline` messages to its targets."""
+class ResourceRequests:
+    """Sends an entry's resource requests to its targets, and declines their unused offers."""
 
     def __init__(self) -> None:
         self._next_round = 0.0
@@ -32,7 +32,7 @@
         targets: Iterable[TargetRecord],
         assigned: Iterable[TargetRecord],
     ) -> None:
-        """Send due `Want` messages: to all targets in rounds, to those just `assigned` at once.
+        """Send due requests: to all targets in rounds, to those just `assigned` at once.
 
         First decline the offers since the last call that were not used.
         """
@@ -47,31 +47,31 @@
 
     def record_report(self, target: TargetRecord) -> None:
         """Record that a target has sent a report, which may be an offer."""
-        if target.want_key:
+        if target.request_key:
             self._reported.append(target)
 
     def _decline(self, assigned: Iterable[TargetRecord]) -> None:
         """Decline the offers of targets that were not `assigned` tasks."""
         used = {target.name for target in assigned}
         for target in self._reported:
-            offered = target.report is not None and target.want_need.fits(target.report.free)
-            if target.want_key and offered and target.name not in used and target.session:
+            offered = target.report is not None and target.request_need.fits(target.report.free)
+            if target.request_key and offered and target.name not in used and target.session:
                 target.session.send(Decline())
-                target.want_key = ""
+                target.request_key = ""
         self._reported.clear()
 
     def _send_to(
         self, now: float, heads: Mapping[str, JobRecord], targets: Iterable[TargetRecord]
     ) -> int:
-        """Send due `Want` messages to the targets, and return how many."""
+        """Send due requests to the targets, and return how many."""
         sent = 0
         for target in targets:
             job = _job_to_send(now, heads, target)
             if job is not None and target.session is not None:
                 target.session.send(Want(job.request.need, _within_ms(now, job)))
-                target.want_key = job.request.key
-                target.want_need = job.request.need
-                target.want_sent_at = now
+                target.request_key = job.request.key
+                target.request_need = job.request.need
+                target.request_sent_at = now
                 sent += 1
         return sent
 
@@ -79,7 +79,7 @@
 def _job_to_send(
     now: float, heads: Mapping[str, JobRecord], target: TargetRecord
 ) -> JobRecord | None:
-    """Return the job whose `Want` is due to be sent to a target, if there is one."""
+    """Return the job whose request is due to be sent to a target, if there is one."""
     if target.session is None or target.report is None:
         return None
     job = heads.get(target.report.service)
@@ -87,7 +87,9 @@
         return None
     if job.request.label and not target.has_label(job.request.label):
         return None
-    in_force = target.want_key == job.request.key and now < target.want_sent_at + REPEAT_SECONDS
+    in_force = (
+        target.request_key == job.request.key and now < target.request_sent_at + REPEAT_SECONDS
+    )
     return None if in_force else job
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -78,7 +78,7 @@
         exhausted = self._exhausted(job)
         return None if exhausted is None else exhausted[1]
 
-    def note_given_up(self, job: JobRecord, outcome: GivenUp) -> Log:
+    def given_up_log(self, job: JobRecord, outcome: GivenUp) -> Log:
         """Return the log line of a job that is given up, with the counts of the task at fault."""
         fields: dict[str, str | int | float] = {"reason": outcome.reason}
         exhausted = self._exhausted(job)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -47,12 +47,12 @@
     """Duration of its runner's tasks relative to other runners on its kind of host."""
     kind_factor: float = 1.0
     """Duration of tasks on its runner's kind of host relative to their expected length."""
-    want_key: str = ""
-    """Key of the waiting job that was last sent to it as a `Want`; empty if none is in force."""
-    want_need: Resources = NOTHING
-    """Resources requested by that `Want`."""
-    want_sent_at: float = 0.0
-    """When that `Want` was sent."""
+    request_key: str = ""
+    """Key of the job for which it was last sent a resource request; empty if none is in force."""
+    request_need: Resources = NOTHING
+    """Resources of that request."""
+    request_sent_at: float = 0.0
+    """When that request was sent."""
     busy_since: float = 0.0
     """When it was last sent a run while it had none of this entry."""
     asked_at: float | None = None
@@ -82,7 +82,7 @@
         """Clear the state that belongs to an ended session."""
         self.report = None
         self.asked_at = None
-        self.want_key = ""
+        self.request_key = ""
         self.unreported.clear()
         self.in_transit = NOTHING
 
@@ -93,7 +93,7 @@
     def record_assignment(self, number: int, need: Resources, tasks: int) -> None:
         """Record the number of the message that assigns `tasks` reserved tasks."""
         self.unreported.extend((number, need) for _ in range(tasks))
-        self.want_key = ""
+        self.request_key = ""
 
     def drop_covered(self, frame: Frame) -> None:
         """Drop the assignments that the target had received before it sent `frame`."""
--- a/testing/core/leased/test_wants.py
+++ b/testing/core/leased/test_resourcerequests.py
@@ -1,13 +1,17 @@
-"""`Want` and `Decline` messages that an entry sends to its targets."""
+"""Resource requests that an entry sends to its targets."""
 
 import msgspec
 import pytest
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import LATE_SECONDS, JobRecord, JobRequest, new_job
+from paddleshunt_core.leased.resourcerequests import (
+    MIN_INTERVAL_SECONDS,
+    REPEAT_SECONDS,
+    ResourceRequests,
+)
 from paddleshunt_core.leased.resources import NOTHING, Resources
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wants import MIN_INTERVAL_SECONDS, REPEAT_SECONDS, Wants
 from paddleshunt_core.leased.wire import Decline, Health, RunnerReport, RunnerState, Want
 
 QUEUE = Queue("q", "host", "/q/", "svc", stretch=1.6, latency=0.06)
@@ -28,7 +32,7 @@
     return new_job(1, JobRequest(key, "spec", 2, NEED, 0.5, 4.0, label=label), QUEUE, at)
 
 
-def sent_wants(record: TargetRecord) -> list[Want]:
+def sent_requests(record: TargetRecord) -> list[Want]:
     assert record.session is not None
     bodies = record.session.frame(0).bodies
     return [body for body in bodies if isinstance(body, Want)]
@@ -36,72 +40,72 @@
 
 def test_all_targets_of_the_service_are_sent_the_waiting_job() -> None:
     ours, other = target("t0"), target("t1", service="other")
-    Wants().send(1.0, {"svc": waiting()}, [ours, other], [])
+    ResourceRequests().send(1.0, {"svc": waiting()}, [ours, other], [])
     # It must start 0.36 s after its arrival: 1.6 * 0.5 s + 0.06 s, less its length of 0.5 s.
-    assert sent_wants(ours) == [Want(NEED, 360)]
-    assert sent_wants(other) == []
+    assert sent_requests(ours) == [Want(NEED, 360)]
+    assert sent_requests(other) == []
 
 
 def test_nothing_is_sent_while_no_job_waits() -> None:
     ours = target("t0")
-    Wants().send(1.0, {}, [ours], [])
-    assert sent_wants(ours) == []
+    ResourceRequests().send(1.0, {}, [ours], [])
+    assert sent_requests(ours) == []
 
 
 def test_a_job_is_sent_once_and_repeated_after_an_interval() -> None:
-    ours, wants, job = target("t0"), Wants(), waiting()
-    wants.send(1.0, {"svc": job}, [ours], [])
-    wants.send(1.0 + 2 * MIN_INTERVAL_SECONDS, {"svc": job}, [ours], [])
-    assert len(sent_wants(ours)) == 1
-    wants.send(1.0 + REPEAT_SECONDS + 0.01, {"svc": job}, [ours], [])
-    assert len(sent_wants(ours)) == 1
+    ours, requests, job = target("t0"), ResourceRequests(), waiting()
+    requests.send(1.0, {"svc": job}, [ours], [])
+    requests.send(1.0 + 2 * MIN_INTERVAL_SECONDS, {"svc": job}, [ours], [])
+    assert len(sent_requests(ours)) == 1
+    requests.send(1.0 + REPEAT_SECONDS + 0.01, {"svc": job}, [ours], [])
+    assert len(sent_requests(ours)) == 1
 
 
 def test_a_target_that_was_assigned_tasks_is_sent_to_between_rounds() -> None:
-    first, second, wants = target("t0"), target("t1"), Wants()
-    wants.send(1.0, {"svc": waiting("a")}, [first, second], [])
-    sent_wants(first), sent_wants(second)
-    wants.send(1.001, {"svc": waiting("b")}, [first, second], [first])
-    assert len(sent_wants(first)) == 1
-    assert sent_wants(second) == []
-    wants.send(1.0 + 2 * MIN_INTERVAL_SECONDS, {"svc": waiting("b")}, [first, second], [])
-    assert len(sent_wants(second)) == 1
+    first, second, requests = target("t0"), target("t1"), ResourceRequests()
+    requests.send(1.0, {"svc": waiting("a")}, [first, second], [])
+    sent_requests(first), sent_requests(second)
+    requests.send(1.001, {"svc": waiting("b")}, [first, second], [first])
+    assert len(sent_requests(first)) == 1
+    assert sent_requests(second) == []
+    requests.send(1.0 + 2 * MIN_INTERVAL_SECONDS, {"svc": waiting("b")}, [first, second], [])
+    assert len(sent_requests(second)) == 1
 
 
 def test_a_late_job_is_sent_with_a_low_urgency() -> None:
     ours = target("t0")
-    Wants().send(9.0, {"svc": waiting(at=1.0)}, [ours], [])
-    assert sent_wants(ours) == [Want(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
+    ResourceRequests().send(9.0, {"svc": waiting(at=1.0)}, [ours], [])
+    assert sent_requests(ours) == [Want(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
 
 
 @pytest.mark.parametrize(("labels", "count"), [((), 0), (("big",), 1)], ids=["without", "with"])
 def test_only_targets_that_can_run_the_job_are_sent_to(labels: tuple[str, ...], count: int) -> None:
     ours = target("t0", labels=labels)
-    Wants().send(1.0, {"svc": waiting(label="big")}, [ours], [])
-    assert len(sent_wants(ours)) == count
+    ResourceRequests().send(1.0, {"svc": waiting(label="big")}, [ours], [])
+    assert len(sent_requests(ours)) == count
 
 
 def test_an_unused_offer_is_declined() -> None:
-    offering, used, wants = target("t0"), target("t1"), Wants()
-    wants.send(1.0, {"svc": waiting()}, [offering, used], [])
+    offering, used, requests = target("t0"), target("t1"), ResourceRequests()
+    requests.send(1.0, {"svc": waiting()}, [offering, used], [])
     for record in (offering, used):
-        sent_wants(record)
+        sent_requests(record)
         assert record.report is not None
         record.report = msgspec.structs.replace(record.report, free=NEED)
     for record in (offering, used):
-        wants.record_report(record)
-    wants.send(1.001, {}, [offering, used], [used])
+        requests.record_report(record)
+    requests.send(1.001, {}, [offering, used], [used])
     assert offering.session is not None and used.session is not None
     assert offering.session.frame(0).bodies == [Decline()]
     assert used.session.frame(0).bodies == []
 
 
 def test_a_report_of_too_few_free_resources_is_not_declined() -> None:
-    ours, wants = target("t0"), Wants()
-    wants.send(1.0, {"svc": waiting()}, [ours], [])
-    sent_wants(ours)
+    ours, requests = target("t0"), ResourceRequests()
+    requests.send(1.0, {"svc": waiting()}, [ours], [])
+    sent_requests(ours)
     assert ours.report is not None and ours.session is not None
     ours.report = msgspec.structs.replace(ours.report, free=Resources(500, 64))
-    wants.record_report(ours)
-    wants.send(1.001, {}, [ours], [])
+    requests.record_report(ours)
+    requests.send(1.001, {}, [ours], [])
     assert ours.session.frame(0).bodies == []
--- a/testing/core/leased/test_retries.py
+++ b/testing/core/leased/test_retries.py
@@ -124,7 +124,7 @@
         retries.learn(1.0, silent(number, job), "t")
     outcome = retries.outcome(5.0, job)
     assert outcome is not None
-    line = retries.note_given_up(job, outcome)
+    line = retries.given_up_log(job, outcome)
     assert (line.event, line.submission) == ("job_given_up", "job")
     assert line.fields["index"] == 1
     assert line.fields["runners"] == "i-0,i-1"
