--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -452,12 +452,12 @@
         last_start = self._last_start(now, job)
         if self._exit_at is not None:
             last_start = min(last_start, self._exit_at - job.length)
-        if not job.begun and now > last_start:
+        if not job.may_have_started and now > last_start:
             snapshot = self._snapshot(now)
             wait = self._expected_wait(job, snapshot)
             why = capacity_log(now, job, wait, snapshot)
             return [why, self._give_up(now, job, "no_room", max(RETRY_SECONDS, wait))]
-        if not job.begun and confined_snapshot is not None:
+        if not job.may_have_started and confined_snapshot is not None:
             confined = self._containment.refuses(job, confined_snapshot)
             if confined is not None:
                 return [self._give_up(now, job, "confined", max(RETRY_SECONDS, confined))]
@@ -472,7 +472,7 @@
 
     def _give_up(self, now: float, job: JobRecord, reason: str, retry_after: float) -> AnswerJob:
         """Drop a job, and answer it as refused only if it can't have run."""
-        ran = job.begun or job.may_have_run
+        ran = job.may_have_started or job.may_have_run
         outcome = GivenUp(reason) if ran else Refused(reason, retry_after)
         return self._answer(now, job, outcome)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -12,10 +12,10 @@
 from paddleshunt_core.leased.ranks import rank
 from paddleshunt_core.leased.wire import EntryAddress
 
-SESSIONS = 8
+MAX_SESSIONS = 8
 """Maximum number of entries that a target holds sessions with."""
 
-OTHER_HALLS = 2
+RESERVED_SESSIONS = 2
 """Number of these sessions that are reserved for entries of other data halls, if there are any."""
 
 SUSPECT_SECONDS = 2.0
@@ -29,7 +29,7 @@
 class EntryChoice:
     """The entries that one target knows of, and its selection."""
 
-    def __init__(self, target: str, hall: str = "", sessions: int = SESSIONS) -> None:
+    def __init__(self, target: str, hall: str = "", sessions: int = MAX_SESSIONS) -> None:
         self._target = target
         self._hall = hall
         self._near: set[str] = set()
@@ -99,7 +99,7 @@
         """Return the names to hold sessions with; own hall first, a few reserved for others."""
         near = [name for name in ranked if name in self._near]
         far = [name for name in ranked if name not in self._near]
-        reserved = min(OTHER_HALLS, len(far)) if near else 0
+        reserved = min(RESERVED_SESSIONS, len(far)) if near else 0
         own = near[: self._sessions - reserved]
         return [*own, *far[: self._sessions - len(own)]]
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -16,7 +16,7 @@
 PRIORITY_SECONDS = 0.15
 """Seconds by which each priority level shifts a queue's jobs in the order of starts."""
 
-LATE_SECONDS = 60.0
+LATE_PENALTY_SECONDS = 60.0
 """Seconds by which a late job that has not started is moved back in the order of starts."""
 
 ESTIMATE_ERROR = 0.25
@@ -25,7 +25,7 @@
 OVERHEAD_SECONDS = 0.02
 """Seconds that a run takes beyond its work on any host: messages, and polling for its end."""
 
-USEFUL_OBJECTIVES = 3.0
+USEFUL_OBJECTIVE_FACTOR = 3.0
 """Multiple of its objective within which a job's answer, though late, is of use to its caller."""
 
 
@@ -121,7 +121,7 @@
         return self.arrived - self.expected.age
 
     @property
-    def begun(self) -> bool:
+    def may_have_started(self) -> bool:
         """Whether a task may have started."""
         return any(task.ran or task.phase is not TaskPhase.WAITING for task in self.tasks)
 
@@ -145,7 +145,7 @@
 
     def urgency(self, now: float) -> float:
         """Return its sort key in the order of starts at `now`; lower starts first."""
-        late = LATE_SECONDS if self.start_by < now and not self.begun else 0.0
+        late = LATE_PENALTY_SECONDS if self.start_by < now and not self.may_have_started else 0.0
         return self.start_by + PRIORITY_SECONDS * self.queue.priority + late
 
     @property
@@ -162,7 +162,7 @@
     @property
     def useful_end(self) -> float:
         """When its tasks must end for its answer to be of use."""
-        return min(self.first_sent + USEFUL_OBJECTIVES * self.objective, self.expires)
+        return min(self.first_sent + USEFUL_OBJECTIVE_FACTOR * self.objective, self.expires)
 
     @property
     def expires(self) -> float:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
@@ -12,7 +12,7 @@
 from paddleshunt_core.leased.resources import NOTHING, Resources
 
 OFFER_SECONDS = 0.012
-"""Seconds for which an offer is valid; enough for two round trips."""
+"""Seconds for which an offer is valid: time for the report, the assignment and some delay."""
 
 
 @final
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -165,7 +165,7 @@
 
         It predicts the result of `choose` per kind of host, without visiting each target.
         """
-        if job.request.rack or job.request.label or job.begun:
+        if job.request.rack or job.request.label or job.may_have_started:
             return False
         need = job.request.need
         kinds = snapshot.kinds(job.queue.service)
--- a/testing/core/leased/test_entrychoice.py
+++ b/testing/core/leased/test_entrychoice.py
@@ -4,8 +4,8 @@
 
 import pytest
 from paddleshunt_core.leased.entrychoice import (
-    OTHER_HALLS,
-    SESSIONS,
+    MAX_SESSIONS,
+    RESERVED_SESSIONS,
     SUSPECT_SECONDS,
     EntryChoice,
 )
@@ -40,12 +40,12 @@
     choice = EntryChoice("t1")
     choice.replace_known("e0", ENTRIES[::-1])
     assert names(choice) == names(choice_of("t1"))
-    assert len(names(choice)) == SESSIONS
+    assert len(names(choice)) == MAX_SESSIONS
 
 
 def test_targets_are_spread_evenly_over_all_entries() -> None:
     shares = Counter(name for n in range(66) for name in names(choice_of(f"side-{n}")))
-    mean = 66 * SESSIONS / len(ENTRIES)
+    mean = 66 * MAX_SESSIONS / len(ENTRIES)
     assert len(shares) == len(ENTRIES)
     assert mean / 2 < min(shares.values()) <= max(shares.values()) < mean * 2
 
@@ -56,7 +56,7 @@
     choice.replace_known("e0", [entry for entry in ENTRIES if entry.name != before[1]])
     after = names(choice)
     assert after[:-1] == [before[0], *before[2:]]
-    assert len(after) == SESSIONS
+    assert len(after) == MAX_SESSIONS
 
 
 def test_a_suspected_entry_is_skipped_until_the_suspicion_expires() -> None:
@@ -131,27 +131,27 @@
 def test_entries_in_the_targets_own_hall_are_preferred() -> None:
     choice = in_halls("t1", "a", {"a": 20, "b": 20})
     halls = [entry.hall for entry in choice.wanted(1.0, set())]
-    assert halls == ["a"] * (SESSIONS - OTHER_HALLS) + ["b"] * OTHER_HALLS
+    assert halls == ["a"] * (MAX_SESSIONS - RESERVED_SESSIONS) + ["b"] * RESERVED_SESSIONS
 
 
 def test_an_entry_whose_hall_has_no_targets_has_sessions_with_other_halls() -> None:
     shares = Counter(
         name
         for n in range(60)
-        for name in names(in_halls(f"t{n}", "a", {"a": SESSIONS + 4, "b": 3}))
+        for name in names(in_halls(f"t{n}", "a", {"a": MAX_SESSIONS + 4, "b": 3}))
         if name.startswith("b")
     )
     assert len(shares) == 3
-    assert sum(shares.values()) == 60 * OTHER_HALLS
+    assert sum(shares.values()) == 60 * RESERVED_SESSIONS
 
 
 @pytest.mark.parametrize(
     ("entries", "expected"),
     [
-        ({"a": 2, "b": 20}, {"a": 2, "b": SESSIONS - 2}),
-        ({"a": 20, "b": 1}, {"a": SESSIONS - 1, "b": 1}),
-        ({"b": 20}, {"b": SESSIONS}),
-        ({"a": 20}, {"a": SESSIONS}),
+        ({"a": 2, "b": 20}, {"a": 2, "b": MAX_SESSIONS - 2}),
+        ({"a": 20, "b": 1}, {"a": MAX_SESSIONS - 1, "b": 1}),
+        ({"b": 20}, {"b": MAX_SESSIONS}),
+        ({"a": 20}, {"a": MAX_SESSIONS}),
     ],
     ids=["few_near", "few_far", "none_near", "none_far"],
 )
--- a/testing/core/leased/test_livenesschecks.py
+++ b/testing/core/leased/test_livenesschecks.py
@@ -101,7 +101,7 @@
     fleet.submit("e0", "job", count=1, length=0.2)
     fleet.run(2 * (CONFIRMATION_SECONDS + 3 * STEP))
     (job,) = fleet.dispatchers["e0"]._jobs.all()
-    assert not job.begun
+    assert not job.may_have_started
     assert job.tasks[0].retries == job.tasks[0].losses == 0
 
 
--- a/testing/core/leased/test_resourcerequests.py
+++ b/testing/core/leased/test_resourcerequests.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 from paddleshunt_core.leased.catalog import Queue
-from paddleshunt_core.leased.jobs import LATE_SECONDS, JobRecord, JobRequest, new_job
+from paddleshunt_core.leased.jobs import LATE_PENALTY_SECONDS, JobRecord, JobRequest, new_job
 from paddleshunt_core.leased.resourcerequests import (
     MIN_INTERVAL_SECONDS,
     REPEAT_SECONDS,
@@ -75,7 +75,7 @@
 def test_a_late_job_is_sent_with_a_low_urgency() -> None:
     ours = target("t0")
     ResourceRequests().send(9.0, {"svc": waiting(at=1.0)}, [ours], [])
-    assert sent_requests(ours) == [Want(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
+    assert sent_requests(ours) == [Want(NEED, round(1000 * (LATE_PENALTY_SECONDS + 0.36 - 8.0)))]
 
 
 @pytest.mark.parametrize(("labels", "count"), [((), 0), (("big",), 1)], ids=["without", "with"])
--- a/testing/council/test_starting.py
+++ b/testing/council/test_starting.py
@@ -9,7 +9,7 @@
 
 import pytest
 from councilsystem import System, play, until_true
-from paddleshunt_core.leased.entrychoice import SESSIONS
+from paddleshunt_core.leased.entrychoice import MAX_SESSIONS
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_council import starting
 from paddleshunt_node.aio import targetservice
@@ -74,7 +74,7 @@
         system.target._store.entries = entries  # type: ignore[method-assign]
         await system.target._ask_for_entries()
         dialled = system.target._dialer._wanted.keys() - {system.peers}
-        assert len(dialled) == SESSIONS
+        assert len(dialled) == MAX_SESSIONS
         assert dialled <= {entry.address for entry in announced}
 
     play(scene)
