--- a/benchmarks/containment.py
+++ b/benchmarks/containment.py
@@ -23,7 +23,7 @@
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.outcomes import Completed, Failed, Refused
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import LossNews
+from paddleshunt_core.leased.wire import LossUpdate
 
 
 def _queue(name: str, priority: int) -> Queue:
@@ -48,7 +48,7 @@
     confined: ClassVar[list[str]] = []
     """Queues that any entry has confined."""
 
-    def learn(self, now: float, news: LossNews, targets: Any) -> Any:
+    def learn(self, now: float, news: LossUpdate, targets: Any) -> Any:
         """Follow a word, and note which queues that confines."""
         is_news, logs = super().learn(now, news, targets)
         self.confined.extend(str(log.fields["queue"]) for log in logs)
@@ -59,7 +59,7 @@
 class Never(Way):
     """Nothing is contained."""
 
-    def learn(self, now: float, news: LossNews, targets: Any) -> Any:
+    def learn(self, now: float, news: LossUpdate, targets: Any) -> Any:
         """Note nothing."""
         return False, []
 
@@ -67,19 +67,19 @@
 class Alone(Way):
     """A confined queue's jobs start on idle targets only, and may do so on any."""
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return the idle targets."""
         if self.is_confined(job.queue):
             return [target for target in usable if target.load == 0.0]
-        return super().targets(job, usable)
+        return super().allowed_targets(job, usable)
 
 
 class NotAtAll(Way):
     """The other queues never use a bulkhead."""
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return the targets beside all bulkheads."""
-        found = super().targets(job, usable)
+        found = super().allowed_targets(job, usable)
         if self.is_confined(job.queue):
             return found
         walled = {name for c in self._confined.values() for name in c.bulkhead.members}
@@ -89,15 +89,15 @@
 class Refuse(Way):
     """A confined queue is refused until its time is over."""
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return no target."""
-        return [] if self.is_confined(job.queue) else super().targets(job, usable)
+        return [] if self.is_confined(job.queue) else super().allowed_targets(job, usable)
 
 
 class Tries(Way):
     """A job of a confined queue that met a lost runner is tried again like others."""
 
-    def holds(self, job: JobRecord) -> bool:
+    def must_wait(self, job: JobRecord) -> bool:
         """Hold nothing."""
         return False
 
@@ -195,7 +195,7 @@
 ) -> tuple[Outcome, int, int]:
     """Play one seed; return answers, runners lost, and wrong confinements at all entries."""
     rng = Random(seed)
-    dispatcher.Containment, bulkhead.SHARE = WAYS[way]  # type: ignore[misc]
+    dispatcher.Containment, bulkhead.TARGET_SHARE = WAYS[way]  # type: ignore[misc]
     Way.confined.clear()
     fleet = Fleet(entries=4, targets=11)
     fleet.check = lambda: None  # type: ignore[method-assign]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -96,7 +96,7 @@
     hold_max: float
 
     @property
-    def strayed(self) -> float:
+    def late_hold_max(self) -> float:
         """Longest lease in seconds that a runner takes by an order for its life before.
 
         That life's clock was ahead, so all that bounds it is `hold_max`, by a clock that may be
@@ -105,27 +105,27 @@
         return self.hold_max + (self.hold_max - self.hold) * CLOCK_DRIFT
 
     @property
-    def reply_pause(self) -> float:
+    def min_reply_interval(self) -> float:
         """Shortest time between two frames of an entry that only answer a heartbeat."""
         return self.heartbeat / 2
 
     @property
-    def usual_echo(self) -> float:
+    def normal_echo_age(self) -> float:
         """Age in seconds that a peer's newest echo rarely exceeds while nothing holds it up."""
         return 2 * self.heartbeat
 
     @property
-    def redial(self) -> float:
+    def reconnect_after(self) -> float:
         """Seconds of silence after which a target makes the connection of a session anew."""
         return self.session * REDIAL_SHARE
 
     @property
-    def idle_beat(self) -> float:
+    def idle_heartbeat(self) -> float:
         """Seconds between two heartbeats of a target in an idle session."""
         return max(IDLE_BEAT, IDLE_BEAT_SESSIONS * self.session)
 
     @property
-    def idle_reply(self) -> float:
+    def min_idle_reply_interval(self) -> float:
         """Shortest time between two frames of an entry that only answer reports of an idle target.
 
         A run that is still being stopped there keeps its session's lease by them.
@@ -135,20 +135,20 @@
     @property
     def idle_session(self) -> float:
         """Seconds of silence after which an idle session is over."""
-        return self.idle_beat + self.session
+        return self.idle_heartbeat + self.session
 
     @property
-    def fresh(self) -> float:
+    def max_silence(self) -> float:
         """Seconds since its last word for which a target that has work is given more."""
         return self.heartbeat * FRESH_HEARTBEATS
 
     @property
-    def idle_fresh(self) -> float:
+    def max_idle_silence(self) -> float:
         """The same for a target that has no work of the entry."""
-        return self.idle_beat + self.fresh
+        return self.idle_heartbeat + self.max_silence
 
     @property
-    def pending(self) -> float:
+    def confirm_timeout(self) -> float:
         """Seconds for which a target keeps an assignment that no echo has confirmed yet."""
         return self.session / 2
 
@@ -158,7 +158,7 @@
         return self.session * (1 + CLOCK_DRIFT) + CLOCK_MARGIN
 
     @property
-    def check(self) -> float:
+    def check_interval(self) -> float:
         """Seconds between two looks of an entry at what time has decided."""
         return self.session / CHECKS_A_SESSION
 
@@ -168,14 +168,14 @@
         return self.hold * CLOCK_DRIFT + self.stop
 
     @property
-    def run_end(self) -> float:
+    def run_expiry(self) -> float:
         """Seconds from a runner's last renewal until nothing can run there any more."""
         return self.hold + self.overrun
 
     @property
-    def session_end(self) -> float:
+    def session_expiry(self) -> float:
         """Seconds from an entry's last sign of life until nothing of it can run any more."""
-        return self.session + self.run_end
+        return self.session + self.run_expiry
 
 
 def lease_times(bounds: Bounds) -> LeaseTimes:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 from typing import final
 
-from paddleshunt_core.leased.ranks import rank as rank
+from paddleshunt_core.leased.rendezvous import rendezvous_rank as rendezvous_rank
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import RunnerState
 
-SHARE = 0.2
+TARGET_SHARE = 0.2
 """Share of a service's targets that a confined queue may use; it has one at least.
 
 Each of them is a runner lost in each time that a runner needs to come back.
@@ -70,5 +70,5 @@
 
     def _rank(self, target: str) -> int:
         if target not in self._ranks:
-            self._ranks[target] = rank(self._queue, target)
+            self._ranks[target] = rendezvous_rank(self._queue, target)
         return self._ranks[target]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogspread.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -36,7 +36,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class AskFor:
+class RequestCatalog:
     """Ask this peer for its configuration."""
 
     peer: str
@@ -44,14 +44,14 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class HandOut:
+class SendCatalog:
     """Send this peer the whole configuration in force."""
 
     peer: str
 
 
 @final
-class CatalogSpread:
+class CatalogSync:
     """One entry's part. Times are steady seconds; `link_mbps` is what its own link carries."""
 
     def __init__(self, rng: Random, link_mbps: float = LINK_MBPS) -> None:
@@ -69,7 +69,7 @@
         self._free_at = 0.0
         """When the copies that were sent have passed the link's share."""
 
-    def adopted(self, version: int) -> None:
+    def set_version(self, version: int) -> None:
         """Note that a version is in force here."""
         self._version = version
         self._asked.clear()
@@ -77,7 +77,7 @@
         if not self._newer():
             self._ask_at = None
 
-    def told(self, now: float, peer: str, version: int) -> None:
+    def on_version(self, now: float, peer: str, version: int) -> None:
         """Take a peer's word on the version in force there."""
         self._versions[peer] = version
         if version >= self._version and peer in self._waiting:
@@ -85,17 +85,17 @@
         if version > self._version and self._ask_at is None:
             self._ask_at = now + self._rng.uniform(*ASK_SECONDS)
 
-    def asked(self, peer: str, version: int) -> None:
+    def on_request(self, peer: str, version: int) -> None:
         """Take the question of a peer that has an older version for the one in force here."""
         self._versions[peer] = version
         if version < self._version and peer not in self._waiting:
             self._waiting.append(peer)
 
-    def handed_out(self, now: float, size: int) -> None:
+    def copy_sent(self, now: float, size: int) -> None:
         """Note that a copy of `size` bytes was sent."""
         self._free_at = now + size / self._rate
 
-    def left(self, peer: str) -> None:
+    def peer_left(self, peer: str) -> None:
         """Forget a peer whose connection has ended."""
         self._versions.pop(peer, None)
         if peer in self._waiting:
@@ -108,17 +108,17 @@
             times.append(self._free_at)
         return min(times, default=None)
 
-    def act(self, now: float, *, hands_out: bool = True) -> list[AskFor | HandOut]:
+    def act(self, now: float, *, may_send: bool = True) -> list[RequestCatalog | SendCatalog]:
         """Return what is to be sent now; `handed_out` follows for a copy.
 
-        `hands_out`: copies may be sent; they wait while the own link is pressed.
+        `may_send`: copies may be sent; they wait while the own link is pressed.
         """
         steps = self._ask(now)
-        if hands_out and self._waiting and now >= self._free_at:
-            steps.append(HandOut(self._waiting.popleft()))
+        if may_send and self._waiting and now >= self._free_at:
+            steps.append(SendCatalog(self._waiting.popleft()))
         return steps
 
-    def _ask(self, now: float) -> list[AskFor | HandOut]:
+    def _ask(self, now: float) -> list[RequestCatalog | SendCatalog]:
         if self._ask_at is None or now < self._ask_at:
             return []
         newer = self._newer()
@@ -132,7 +132,7 @@
         self._asked.add(peer)
         self._ask_at = now + self._patience
         self._patience = min(MAX_ANSWER_SECONDS, 2 * self._patience)
-        return [AskFor(peer)]
+        return [RequestCatalog(peer)]
 
     def _newer(self) -> list[str]:
         """Return the peers that have a newer version than this entry."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -12,13 +12,13 @@
 from typing import final
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.bulkhead import Bulkhead, rank
+from paddleshunt_core.leased.bulkhead import Bulkhead, rendezvous_rank
 from paddleshunt_core.leased.catalog import Queue
+from paddleshunt_core.leased.crashevidence import CrashEvidence, Evidence
 from paddleshunt_core.leased.jobs import JobRecord
-from paddleshunt_core.leased.room import RoomNow
-from paddleshunt_core.leased.suspicion import Evidence, Suspicions
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import LossId, LossNews, RunnerReturned
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
+from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerReturned
 
 QUIET_SECONDS = 1.5
 """Seconds without a loss, with a target that takes work, after which a queue gets more targets.
@@ -95,7 +95,7 @@
 
     def __init__(self, again: float) -> None:
         """`again`: seconds from a loss of a runner until what was lost can be at work again."""
-        self._suspicions = Suspicions(again)
+        self._suspicions = CrashEvidence(again)
         self._services: dict[str, str] = {}
         """Service of each queue that had a job here."""
         self._confined: dict[str, _Confinement] = {}
@@ -106,7 +106,7 @@
         return len(self._confined)
 
     @property
-    def is_waiting(self) -> bool:
+    def depends_on_time(self) -> bool:
         """Whether the passing of time may change something."""
         return bool(self._confined) or self._suspicions.ripens
 
@@ -125,7 +125,7 @@
 
     # What is learned.
 
-    def serves(self, now: float, queue: Queue, targets: Targets) -> list[Log]:
+    def set_service(self, now: float, queue: Queue, targets: Targets) -> list[Log]:
         """Note which service runs a queue's tasks; what was lost before may say something then."""
         known = self._services.get(queue.name)
         self._services[queue.name] = queue.service
@@ -133,7 +133,7 @@
             return []
         return self._confine(now, targets, self._suspicions.lost_again())
 
-    def learn(self, now: float, news: LossNews, targets: Targets) -> tuple[bool, list[Log]]:
+    def learn(self, now: float, news: LossUpdate, targets: Targets) -> tuple[bool, list[Log]]:
         """Follow a word on a runner; return whether it was news, and what it leads to."""
         if not self._suspicions.learn(now, news):
             return False, []
@@ -142,7 +142,9 @@
             logs += self._take_back(now, news.loss, targets)
         return True, logs
 
-    def follow(self, now: float, targets: Iterable[TargetRecord], room: RoomNow) -> list[Log]:
+    def follow(
+        self, now: float, targets: Iterable[TargetRecord], room: TargetSnapshot
+    ) -> list[Log]:
         """Act on the passing of time; `targets` are those in halls that are not evacuated."""
         known = list(targets)
         logs = self._judge(now, lambda: known)
@@ -157,7 +159,7 @@
         """Whether a queue is confined."""
         return queue.name in self._confined
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return those of the usable targets that a job may have tasks on.
 
         A queue that is not confined uses the others' bulkheads if there is no room elsewhere. Its
@@ -175,11 +177,11 @@
         rest = [target for target in usable if target.name not in walled]
         return rest if any(_has_room(job, target) for target in rest) else usable
 
-    def may_go_elsewhere(self, job: JobRecord) -> bool:
+    def may_use_other_targets(self, job: JobRecord) -> bool:
         """Whether what has no place on its `targets` may go to any usable one."""
         return not self.is_confined(job.queue) and not self._has_met(job)
 
-    def rivals(self, job: JobRecord, held: Iterable[JobRecord]) -> Iterable[JobRecord]:
+    def competing_jobs(self, job: JobRecord, held: Iterable[JobRecord]) -> Iterable[JobRecord]:
         """Return those of the held jobs that wait for the same targets."""
         if not self._confined:
             return held
@@ -187,7 +189,7 @@
             return [other for other in held if other.queue.name == job.queue.name]
         return [other for other in held if other.queue.name not in self._confined]
 
-    def holds(self, job: JobRecord) -> bool:
+    def must_wait(self, job: JobRecord) -> bool:
         """Whether a job is to wait: its queue has the fewest targets, and it met a lost runner.
 
         The one that took the runner down is among these, and would cost another.
@@ -197,12 +199,12 @@
             return False
         return self._has_met(job)
 
-    def refuses(self, job: JobRecord, room: RoomNow) -> float | None:
+    def refusal_delay(self, job: JobRecord, room: TargetSnapshot) -> float | None:
         """Return after how many seconds a job is to be asked for again that has no target now."""
         confined = self._confined.get(job.queue.name)
         if confined is None:
             return None
-        if any(_can_run(job, t) for t in self.targets(job, room.usable(job.queue.service))):
+        if any(_can_run(job, t) for t in self.allowed_targets(job, room.usable(job.queue.service))):
             return None
         return min(LONGEST_RETRY_SECONDS, confined.free_after())
 
@@ -218,7 +220,8 @@
             target
             for target in usable
             if _has_room(job, target)
-            and min(queues, key=lambda q: rank(q, target.name), default="") == job.queue.name
+            and min(queues, key=lambda q: rendezvous_rank(q, target.name), default="")
+            == job.queue.name
         ]
 
     def _judge(self, now: float, targets: Targets) -> list[Log]:
@@ -375,7 +378,7 @@
     return note(
         "queue_evidence_taken_back",
         queue=queue,
-        answers=str(returned.life),
+        answers=str(returned.incarnation),
         runners=_named(doubtful),
         second_losses_left=0 if left is None else left.second_losses,
     )
@@ -383,4 +386,4 @@
 
 def _named(losses: Iterable[LossId]) -> str:
     """Return the lives of some losses, as one line names them."""
-    return ",".join(sorted({str(loss.life) for loss in losses})[:MOST_NAMED])
+    return ",".join(sorted({str(loss.incarnation) for loss in losses})[:MOST_NAMED])
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, replace
 from typing import final
 
-from paddleshunt_core.leased.losses import TOGETHER_SECONDS
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.losses import CORRELATION_SECONDS
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import (
     LossId,
-    LossNews,
+    LossUpdate,
     RunnerLost,
     RunnerReturned,
     RunnerSilent,
@@ -44,7 +44,7 @@
 MOST_RETURNED = 256
 """Lives that answered again, remembered so that an older word of silence is not followed."""
 
-PATIENCE = 2.0
+RETURN_WAIT_LEASES = 2.0
 """How many times as long as a runner's lease a silence lasts until it is evidence while most end.
 
 A queue that does crash runners then is confined so much later (1.4 s); most returns come sooner.
@@ -98,7 +98,7 @@
 
 
 @final
-class Suspicions:
+class CrashEvidence:
     """The losses that one entry has heard of lately. Times are steady seconds."""
 
     def __init__(self, again: float) -> None:
@@ -108,7 +108,7 @@
         """In the order in which they were learned; of each life the latest silence only."""
         self._met: Counter[TaskId] = Counter()
         """On how many of these runners a task was at work."""
-        self._returned: dict[RunnerLife, tuple[int, float]] = {}
+        self._returned: dict[RunnerIncarnation, tuple[int, float]] = {}
         """Of lives that answered again: the latest silence that ended so, and when it was learned.
 
         The one that was learned last is the last.
@@ -124,7 +124,7 @@
         """Whether a silence may yet become evidence by lasting longer."""
         return not self._seen.keys() <= self._ripe
 
-    def learn(self, now: float, news: LossNews) -> bool:
+    def learn(self, now: float, news: LossUpdate) -> bool:
         """Follow a word on a runner; return whether it was news."""
         self._expire(now)
         loss = news.loss
@@ -144,7 +144,7 @@
 
     def has_returned(self, loss: LossId) -> bool:
         """Whether the life has answered since it fell silent so."""
-        returned = self._returned.get(loss.life)
+        returned = self._returned.get(loss.incarnation)
         return returned is not None and loss.silent_ms <= returned[0]
 
     def doubtful(self, now: float, losses: Iterable[LossId]) -> set[LossId]:
@@ -217,13 +217,15 @@
         only silences that have lasted longer than returns take.
         """
         back = {life for life, (_, at) in self._returned.items() if at >= now - WINDOW_SECONDS}
-        out = {loss.life for loss in self._seen} - back
+        out = {loss.incarnation for loss in self._seen} - back
         mostly_back = len(back) >= len(out)
-        outlasted = now - PATIENCE * self._again
+        outlasted = now - RETURN_WAIT_LEASES * self._again
         return [
             each
             for each in self._seen.values()
-            if each.ended or each.at <= outlasted or not (mostly_back or each.loss.life in back)
+            if each.ended
+            or each.at <= outlasted
+            or not (mostly_back or each.loss.incarnation in back)
         ]
 
     def _lost(self, now: float, news: RunnerLost | RunnerSilent, at: float, *, ended: bool) -> bool:
@@ -233,12 +235,12 @@
             return ended and self._end(loss)
         if self.has_returned(loss) or at <= now - WINDOW_SECONDS:
             return False
-        known = [other.silent_ms for other in self._seen if other.life == loss.life]
+        known = [other.silent_ms for other in self._seen if other.incarnation == loss.incarnation]
         if known and loss.silent_ms < max(known):
             return False
         for silent_ms in known:
             # The same life is silent anew: it had answered meanwhile.
-            self._undo(now, LossId.of(loss.life, silent_ms))
+            self._undo(now, LossId.of(loss.incarnation, silent_ms))
         work: Work = {}
         for task, queue, ms in zip(news.tasks, news.queues, news.worked_ms, strict=False):
             work.setdefault(queue, {})[task] = max(SHORTEST_WORK, ms / 1000)
@@ -258,8 +260,8 @@
         """Take back what a life's silence shows, and that of any earlier one."""
         if self.has_returned(loss):
             return False
-        self._returned.pop(loss.life, None)
-        self._returned[loss.life] = (loss.silent_ms, now)
+        self._returned.pop(loss.incarnation, None)
+        self._returned[loss.incarnation] = (loss.silent_ms, now)
         if len(self._returned) > MOST_RETURNED:
             del self._returned[next(iter(self._returned))]
         for known in list(self._seen):
@@ -308,7 +310,7 @@
     shortest: dict[int, _Second] = {}
     group, began = 0, float("-inf")
     for each in seen:
-        if each.at > began + TOGETHER_SECONDS:
+        if each.at > began + CORRELATION_SECONDS:
             group, began = group + 1, each.at
         again: dict[str, _Second] = {}
         for name, tasks in each.work.items():
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
@@ -45,13 +45,13 @@
         self._known = told
         return set(told.halls) != before
 
-    def outdates(self, told: EvacuatedHalls) -> bool:
+    def supersedes(self, told: EvacuatedHalls) -> bool:
         """Whether a teller of `told` is to be told of other halls, as of a later revision."""
         later = told.revision < self._known.revision
         return later and set(told.halls) != set(self._known.halls)
 
 
-def evacuation_note(evacuations: Evacuations, source: str) -> Log:
+def evacuation_log(evacuations: Evacuations, source: str) -> Log:
     """Return the line that says which halls are evacuated now, and who told."""
     known = evacuations.known
     halls = ",".join(known.halls)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
@@ -8,7 +8,7 @@
 from typing import final
 
 from paddleshunt_core.leased.bounds import LeaseTimes
-from paddleshunt_core.leased.orders import LookAnswer
+from paddleshunt_core.leased.orders import PollAnswer
 from paddleshunt_core.leased.runnerlease import RunnerLease
 from paddleshunt_core.leased.wire import RunId
 
@@ -41,20 +41,20 @@
         self._met = now
         self._paused = 0.0
 
-    def is_met_by(self, answer: LookAnswer) -> bool:
+    def is_after_reset(self, answer: PollAnswer) -> bool:
         """Whether an answer is to a look that was sent since this life was met."""
         return self._met is None or answer.sent >= self._met
 
-    def stood_still(self, seconds: float) -> None:
+    def clock_paused(self, seconds: float) -> None:
         """Note that the runner's clock may not have moved for so long."""
         self._paused += seconds
 
-    def read(self, answer: LookAnswer, ordered: Container[RunId]) -> None:
+    def update(self, answer: PollAnswer, ordered: Container[RunId]) -> None:
         """Take the runner's lists; `ordered` are the runs of this life of the target."""
         ended = {row.run for row in answer.finished}
         listed = {row.run for row in answer.running}
         self._runs = {run for run in listed if run not in ordered and run not in ended}
-        if self._runs or self.clean or not self.is_met_by(answer):
+        if self._runs or self.clean or not self.is_after_reset(answer):
             return
         if self._met is None:
             self._met = answer.sent
@@ -62,5 +62,5 @@
 
     def _can_have_none(self, met: float, now: float) -> bool:
         """Whether all leases are over that were granted before `met`, or by this life since."""
-        left_by_earlier = met + self._paused + self._times.strayed + self._times.overrun
-        return now > left_by_earlier and self._lease.has_killed(now)
+        left_by_earlier = met + self._paused + self._times.late_hold_max + self._times.overrun
+        return now > left_by_earlier and self._lease.has_surely_expired(now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
@@ -15,14 +15,14 @@
 from enum import Enum, auto
 from typing import final
 
-from paddleshunt_core.leased.orders import RunnerAccount
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.orders import RunnerStatus
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
-PAST_LIVES = 32
+MAX_REMEMBERED = 32
 """Ended lives that are remembered: some per day, and a cut holds a heartbeat back for seconds."""
 
 
-MOST_SKIPPED = 16
+MAX_SEQUENCE_GAP = 16
 """Accounts of a life that may go missing in a row: some 20 s, longer than cuts usually last.
 
 After a longer one the second account is followed, and so is each second one of a life that counts
@@ -30,7 +30,7 @@
 """
 
 
-class Claim(Enum):
+class HeartbeatClass(Enum):
     """What a heartbeat is worth.
 
     CURRENT: news of the known life. NEW: of the first one known. DOUBTFUL: of another life than the
@@ -39,7 +39,7 @@
 
     CURRENT = auto()
     NEW = auto()
-    DOUBTFUL = auto()
+    UNCONFIRMED = auto()
     LATE = auto()
 
 
@@ -48,7 +48,7 @@
     """The lives of one runner: the one that is followed, and those that have ended."""
 
     def __init__(self) -> None:
-        self._current: RunnerLife | None = None
+        self._current: RunnerIncarnation | None = None
         self.changes = 0
         """How often another life has been followed than before, or none any more."""
         self._tells_none = False
@@ -56,70 +56,72 @@
         self._sequence = 0
         self._leap: int | None = None
         """The number of the last account, if it was far ahead of those before."""
-        self._past: deque[RunnerLife] = deque(maxlen=PAST_LIVES)
-        self._denied: deque[RunnerLife] = deque(maxlen=PAST_LIVES)
+        self._past: deque[RunnerIncarnation] = deque(maxlen=MAX_REMEMBERED)
+        self._denied: deque[RunnerIncarnation] = deque(maxlen=MAX_REMEMBERED)
         """Lives that the runner has denied to be while the followed one lives."""
 
     @property
-    def current(self) -> RunnerLife | None:
+    def current(self) -> RunnerIncarnation | None:
         """The life that is followed; it may not have given an account of itself yet."""
         return self._current
 
-    def judge(self, account: RunnerAccount) -> Claim:
+    def classify(self, status: RunnerStatus) -> HeartbeatClass:
         """Return what an account that has just come is worth."""
-        if self._has_ended(account.runner):
-            return Claim.LATE
+        if self._has_ended(status.runner):
+            return HeartbeatClass.LATE
         if self._current is None:
-            return Claim.NEW
-        if not self.is_current(account.runner):
-            return Claim.LATE if account.runner in self._denied else Claim.DOUBTFUL
-        if 0 < account.sequence <= self._sequence or not self._goes_on(account):
-            return Claim.LATE
-        return Claim.CURRENT
-
-    def _goes_on(self, account: RunnerAccount) -> bool:
+            return HeartbeatClass.NEW
+        if not self.is_current(status.runner):
+            return (
+                HeartbeatClass.LATE if status.runner in self._denied else HeartbeatClass.UNCONFIRMED
+            )
+        if 0 < status.sequence <= self._sequence or not self._goes_on(status):
+            return HeartbeatClass.LATE
+        return HeartbeatClass.CURRENT
+
+    def _goes_on(self, status: RunnerStatus) -> bool:
         """Whether its number is near, or follows another far one; the first may have any."""
-        if not self._sequence or account.sequence <= self._sequence + MOST_SKIPPED:
+        if not self._sequence or status.sequence <= self._sequence + MAX_SEQUENCE_GAP:
             return True
-        return self._leap is not None and account.sequence > self._leap
+        return self._leap is not None and status.sequence > self._leap
 
-    def pass_over(self, account: RunnerAccount) -> None:
+    def note_late(self, status: RunnerStatus) -> None:
         """Note an account that was judged late: the next one may go on from a number far ahead."""
-        if not self.is_current(account.runner) or account.sequence <= self._sequence:
+        if not self.is_current(status.runner) or status.sequence <= self._sequence:
             return
-        if self._leap is None or not 0 <= self._leap - account.sequence <= MOST_SKIPPED:
-            self._leap = account.sequence
+        if self._leap is None or not 0 <= self._leap - status.sequence <= MAX_SEQUENCE_GAP:
+            self._leap = status.sequence
 
-    def is_current(self, life: RunnerLife) -> bool:
+    def is_current(self, life: RunnerIncarnation) -> bool:
         """Whether a life may be the one that is followed, as far as both are told."""
         if self._current is None or (self._tells_none and life.born):
             return False
-        return self._current.agrees(life)
+        return self._current.may_be_same(life)
 
-    def follow(self, account: RunnerAccount) -> None:
+    def follow(self, status: RunnerStatus) -> None:
         """Follow the life that an account is of."""
-        self.meet(account.runner)
+        self.set_current(status.runner)
         self._leap = None
-        self._sequence = max(self._sequence, account.sequence)
+        self._sequence = max(self._sequence, status.sequence)
 
-    def answered_as(self, life: RunnerLife) -> None:
+    def confirm(self, life: RunnerIncarnation) -> None:
         """Follow the life that the runner itself has said to be in its lists."""
-        self.meet(life)
+        self.set_current(life)
         self._tells_none = self._current is not None and not self._current.born
 
-    def meet(self, life: RunnerLife) -> None:
+    def set_current(self, life: RunnerIncarnation) -> None:
         """Follow a life, or learn more of the one that is followed."""
         if not self.is_current(life):
-            self.end()
+            self.end_current()
             self._current = life
             self.changes += 1
         elif life.born:
             self._current = life
 
-    def end(self, *, answered: bool = True) -> None:
+    def end_current(self, *, answered: bool = True) -> None:
         """Note that the followed life has ended; one that never `answered` may yet come."""
         if self._current is not None and answered:
-            self.note_ended(self._current)
+            self.mark_ended(self._current)
         if self._current is not None:
             self.changes += 1
         self._current = None
@@ -128,16 +130,16 @@
         self._leap = None
         self._denied.clear()
 
-    def deny(self, life: RunnerLife) -> None:
+    def deny(self, life: RunnerIncarnation) -> None:
         """Note that the runner says it is not this life: it may be the one after the followed."""
         if life not in self._denied:
             self._denied.append(life)
 
-    def note_ended(self, life: RunnerLife) -> None:
+    def mark_ended(self, life: RunnerIncarnation) -> None:
         """Note that a life has ended; it is never followed again."""
         if life not in self._past:
             self._past.append(life)
 
-    def _has_ended(self, life: RunnerLife) -> bool:
+    def _has_ended(self, life: RunnerIncarnation) -> bool:
         """Whether a life is known to have ended; one that doesn't tell its start goes by its id."""
-        return life in self._past or (not life.born and any(map(life.agrees, self._past)))
+        return life in self._past or (not life.born and any(map(life.may_be_same, self._past)))
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -87,12 +87,12 @@
 class LinkPressure:
     """Tells the level from samples.
 
-    `usual_echo` is how old the peers' echoes are at most in seconds while nothing waits: a process
+    `normal_echo_age` is how old the peers' echoes are at most in seconds while nothing waits: a process
     may start while its link is pressed.
     """
 
-    def __init__(self, usual_echo: float = float("inf")) -> None:
-        self._usual_echo = usual_echo
+    def __init__(self, normal_echo_age: float = float("inf")) -> None:
+        self._normal_echo_age = normal_echo_age
         self.level = PressureLevel.NORMAL
         self.wait = 0.0
         """Seconds that bytes wait at the link now."""
@@ -108,15 +108,15 @@
         """The same for waits short enough to leave it."""
         self._echoes: deque[float] = deque(maxlen=ECHO_WINDOW)
 
-    def is_suspicious(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo: float | None) -> bool:
         """Whether a sample should be taken thoroughly: the level is raised, or echoes come late."""
         return self.level is not PressureLevel.NORMAL or self._lateness(echo) >= SHED_LEAVE
 
-    def turns_away(self, now: float) -> bool:
+    def rejects_connections(self, now: float) -> bool:
         """Whether new connections had better go to another host."""
         return now < self._pressed_at + READY_PAUSE
 
-    def sampled(self, now: float, sample: LinkSample) -> list[Log]:
+    def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
         """Take a sample; return the line that tells of a new level."""
         self._measure_rate(now, sample)
         self.wait = self._wait(sample)
@@ -169,7 +169,7 @@
         """Return by how much echoes come later than the earliest seen lately."""
         if echo is None:
             return 0.0
-        usual = min(self._usual_echo, min(self._echoes, default=echo))
+        usual = min(self._normal_echo_age, min(self._echoes, default=echo))
         return max(0.0, echo - usual)
 
     def _count(self) -> None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
@@ -5,16 +5,16 @@
 from typing import final
 
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunId
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class RunnerAccount:
+class RunnerStatus:
     """What a runner says of itself: its life, pool, size and whether it is leaving."""
 
-    runner: RunnerLife
+    runner: RunnerIncarnation
     service: str
     hall: str
     capacity: Resources
@@ -117,7 +117,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Look:
+class Poll:
     """A look to send: acknowledge ends up to `last_seen`, and wait for one up to `wait` s.
 
     `until` is when the lease that it renews ends, in steady seconds of this process; None to leave
@@ -131,8 +131,8 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class LookAnswer:
-    """The runner's answer to a `Look` that was sent at `sent` (own steady clock, s).
+class PollAnswer:
+    """The runner's answer to a `Poll` that was sent at `sent` (own steady clock, s).
 
     `partial`: some of it could not be read, so a run that it doesn't show may be there as well.
     `listed` is the highest number of an end that it lists, also of one that is no run of ours.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/refusals.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/refusals.py
@@ -14,25 +14,25 @@
 
 from paddleshunt_core.events import Log, note
 
-LINE_SECONDS = 10.0
+LINE_INTERVAL_SECONDS = 10.0
 """Seconds between two lines on one sender and kind: a word a second, refused for hours, must leave
 an operator room to see the others."""
 
-MOST_LINES = 20
-"""Lines on one kind of word in `LINE_SECONDS`, whoever sends it: senders' names come from outside
+MAX_LINES_PER_KIND = 20
+"""Lines on one kind of word in `LINE_INTERVAL_SECONDS`, whoever sends it: senders' names come from outside
 too, and may be another each time."""
 
-MOST_SENDERS = 256
+MAX_SENDERS = 256
 """Pairs of sender and kind that are told apart at a time; a host hears of some dozens."""
 
-MOST_TEXT = 160
+MAX_TEXT_LENGTH = 160
 """Signs of a sender's name or a problem in a line; both may come from outside."""
 
-UNREADABLE = (msgspec.MsgspecError, ValueError, OverflowError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, ValueError, OverflowError, RecursionError)
 """What decoding bytes from outside may raise: also text that is no UTF-8, and deep nesting."""
 
 
-class Word(Enum):
+class InputKind(Enum):
     """What was said that is refused."""
 
     HEARTBEAT = "heartbeat"
@@ -53,16 +53,16 @@
 class Refusal:
     """A word that is not followed: what it was, whose it seems to be, and what is wrong with it."""
 
-    word: Word
+    kind: InputKind
     sender: str
     problem: str
 
 
-Refuse = Callable[[Refusal], None]
+RefusalHandler = Callable[[Refusal], None]
 """Takes a refusal."""
 
 
-def unheard(refusal: Refusal) -> None:
+def ignore_refusal(refusal: Refusal) -> None:
     """Drop a refusal: for tools that read words and have no log."""
 
 
@@ -71,41 +71,41 @@
     """Which refusals of one process are told, and when."""
 
     def __init__(self) -> None:
-        self._told: OrderedDict[tuple[Word, str], tuple[float, int]] = OrderedDict()
+        self._told: OrderedDict[tuple[InputKind, str], tuple[float, int]] = OrderedDict()
         """When a line on a pair was written last, and how many were left out since."""
-        self._lines: dict[Word, tuple[float, int, int]] = {}
-        """When the time for `MOST_LINES` of a kind began, how many were written since, and how many
+        self._lines: dict[InputKind, tuple[float, int, int]] = {}
+        """When the time for `MAX_LINES_PER_KIND` of a kind began, how many were written since, and how many
         of new senders were left out since the last line."""
 
-    def take(self, now: float, refusal: Refusal) -> list[Log]:
+    def record(self, now: float, refusal: Refusal) -> list[Log]:
         """Return the line on a refusal, unless one on its sender and kind was told lately."""
-        key = (refusal.word, shown(refusal.sender))
+        key = (refusal.kind, escape_for_log(refusal.sender))
         told, left_out = self._told.get(key, (float("-inf"), 0))
-        if now < told + LINE_SECONDS:
+        if now < told + LINE_INTERVAL_SECONDS:
             self._told[key] = (told, left_out + 1)
             return []
-        began, lines, over = self._lines.get(refusal.word, (now, 0, 0))
-        if now >= began + LINE_SECONDS:
+        began, lines, over = self._lines.get(refusal.kind, (now, 0, 0))
+        if now >= began + LINE_INTERVAL_SECONDS:
             began, lines = now, 0
-        if lines >= MOST_LINES:
-            self._lines[refusal.word] = (began, lines, over + 1)
+        if lines >= MAX_LINES_PER_KIND:
+            self._lines[refusal.kind] = (began, lines, over + 1)
             return []
-        self._lines[refusal.word] = (began, lines + 1, 0)
+        self._lines[refusal.kind] = (began, lines + 1, 0)
         self._told[key] = (now, 0)
         self._told.move_to_end(key)
-        if len(self._told) > MOST_SENDERS:
+        if len(self._told) > MAX_SENDERS:
             self._told.popitem(last=False)
         return [
             note(
                 "word_refused",
-                word=refusal.word.value,
+                word=refusal.kind.value,
                 sender=key[1],
-                problem=shown(refusal.problem),
+                problem=escape_for_log(refusal.problem),
                 left_out=left_out + over,
             )
         ]
 
 
-def shown(text: str) -> str:
+def escape_for_log(text: str) -> str:
     """Return text from outside as it may stand in a line of the log."""
-    return ascii(text[:MOST_TEXT])[1:-1][:MOST_TEXT]
+    return ascii(text[:MAX_TEXT_LENGTH])[1:-1][:MAX_TEXT_LENGTH]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.bounds import LeaseTimes
 from paddleshunt_core.leased.entrylink import EntryLink
 from paddleshunt_core.leased.offers import Offers
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
 from paddleshunt_core.leased.wire import Health, RunnerReport, RunnerState
 
@@ -43,14 +43,14 @@
         free = self._control.offered(now)
         holder = self._holder(now, free, plenty)
         if holder is not None:
-            next_due = self._offers.lapses()
+            next_due = self._offers.expires_at()
         for name, link in links.items():
             if link.session is None:
                 continue
-            report = self._report(now, link, free if holder in (None, name) else NOTHING)
+            report = self._report(now, link, free if holder in (None, name) else NO_RESOURCES)
             if link.report_due or _says_anew(now, report, link):
                 held = link.is_held(has_runs=self._control.table.has_entry(name))
-                pause = link.report_pause(self._times, report, plenty=plenty, held=held)
+                pause = link.min_report_interval(self._times, report, plenty=plenty, held=held)
                 if sheds:
                     pause = max(pause, self._times.heartbeat)
                 at_once = holder == name or (holder is not None and _takes_back(report, link))
@@ -64,9 +64,9 @@
 
     def _has_plenty(self) -> bool:
         control = self._control
-        if control.account is None or control.state() is not RunnerState.READY:
+        if control.status is None or control.state() is not RunnerState.READY:
             return False
-        return control.table.used.share_of(control.account.capacity) < 1 - PLENTY
+        return control.table.used.share_of(control.status.capacity) < 1 - PLENTY
 
     def _holder(self, now: float, free: Resources, plenty: bool) -> str | None:
         """Return the entry that alone is shown the room; None if all are shown it."""
@@ -74,22 +74,22 @@
             return None
         if plenty and not self._offers.is_contended(free):
             return None
-        return self._offers.holder(now, free)
+        return self._offers.offered_to(now, free)
 
     def _report(self, now: float, link: EntryLink, shown: Resources) -> RunnerReport:
         control = self._control
-        account = control.account
+        status = control.status
         return RunnerReport(
-            service=account.service if account else "",
-            runner=account.runner.id if account else "",
+            service=status.service if status else "",
+            runner=status.runner.id if status else "",
             state=control.state() if link.retired is None else RunnerState.LEAVING,
             health=control.level,
-            capacity=account.capacity if account else NOTHING,
+            capacity=status.capacity if status else NO_RESOURCES,
             free=shown,
-            labels=account.labels if account else (),
+            labels=status.labels if status else (),
             cold_ms=round(control.cold(now) * 1000),
-            kind=account.kind if account else "",
-            born=account.runner.born if account else 0,
+            kind=status.kind if status else "",
+            born=status.runner.born if status else 0,
         )
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -4,19 +4,18 @@
 from typing import final
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.accounts import AccountCheck, contradiction_note
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, LeaseTimes
 from paddleshunt_core.leased.evacuation import Evacuations
 from paddleshunt_core.leased.foreignruns import ForeignRuns
 from paddleshunt_core.leased.health import RunnerHealth
-from paddleshunt_core.leased.incarnations import Claim, Incarnations
+from paddleshunt_core.leased.incarnations import HeartbeatClass, Incarnations
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    Look,
-    LookAnswer,
     Order,
+    Poll,
+    PollAnswer,
     RunEnd,
-    RunnerAccount,
+    RunnerStatus,
     StartAnswer,
     StartRun,
     StopRun,
@@ -24,15 +23,15 @@
 )
 from paddleshunt_core.leased.progress import (
     HUNG_RUNS,
-    is_better_elsewhere,
+    is_faster_elsewhere,
+    is_stalled,
     is_stuck,
     note_done,
     note_progress,
-    stands_still,
 )
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
 from paddleshunt_core.leased.runnerlease import RunnerLease
-from paddleshunt_core.leased.runnerlife import RunnerLife, as_told
 from paddleshunt_core.leased.runnerlosses import RunnerLosses
 from paddleshunt_core.leased.runnotes import (
     ended_note,
@@ -42,6 +41,7 @@
     resized_note,
 )
 from paddleshunt_core.leased.runtable import Phase, Run, RunTable
+from paddleshunt_core.leased.statuscheck import StatusCheck, contradicting_status_note
 from paddleshunt_core.leased.stopping import stop, stop_again
 from paddleshunt_core.leased.wire import (
     End,
@@ -50,26 +50,26 @@
     RunnerState,
 )
 
-LOOK_SHARE = 0.07
+POLL_WAIT_SHARE = 0.07
 """Part of the runner's lease that one look may wait for an end: 48 ms of the council's 0.69 s.
 
 What only a look can tell, a hang or an order that was lost, is known so much sooner.
 """
 
-LOOK_SECONDS = 0.05
+MAX_POLL_WAIT = 0.05
 """Longest wait of a look while a run is at work, however long the lease.
 
 Its answer shows some moment of the wait, which is not known closer: it must be short beside the
 time after which a runner counts as hung (`HUNG_SECONDS`).
 """
 
-IDLE_LOOK_SHARE = 0.45
+IDLE_POLL_WAIT_SHARE = 0.45
 """The same while no run is at work."""
 
 MIN_SECONDS = 0.001
 """Shortest time that a run is taken to have lasted."""
 
-UNREACHABLE_LOOKS = 2
+UNREACHABLE_POLLS = 2
 """Looks in a row without an answer after which a runner counts as unreachable."""
 
 _ENDS = {
@@ -94,10 +94,10 @@
         self._cold_overrun = cold_overrun
         self._cold_until = float("-inf")
         self.evacuations = Evacuations()
-        self.lives = Incarnations()
+        self.incarnations = Incarnations()
         self.table = RunTable()
-        self.account: RunnerAccount | None = None
-        self._check_account = AccountCheck()
+        self.status: RunnerStatus | None = None
+        self._check_account = StatusCheck()
         self.health = RunnerHealth(cold_overrun)
         self.level = Health.GOOD
         self.leaving = False
@@ -106,7 +106,7 @@
         self._last_seen = 0
         self._lease = RunnerLease(times)
         self._foreign = ForeignRuns(times, self._lease)
-        self._failed_looks = 0
+        self._failed_polls = 0
         self._waited = 0.0
         """Seconds that the last look may have waited at the runner."""
 
@@ -147,135 +147,135 @@
             effects.append(note("runner_health", health=level.name.lower(), speed=speed))
         return effects
 
-    def runner_stood_still(self, seconds: float) -> None:
+    def runner_paused(self, seconds: float) -> None:
         """Note that the runner's clock and work may have stood still, as its host was suspended."""
-        self._lease.stood_still(seconds)
-        self._foreign.stood_still(seconds)
+        self._lease.clock_paused(seconds)
+        self._foreign.clock_paused(seconds)
         for run in self.table:
-            run.moved += seconds
-            run.seen += seconds
+            run.progressed_at += seconds
+            run.observed_at += seconds
 
     def leave(self) -> None:
         """Start nothing more."""
         self.leaving = True
 
-    def runner_spoke(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Follow the runner's account of itself, unless it is late; it may be of another life."""
-        if self.lives.judge(account) is Claim.LATE:
-            self.lives.pass_over(account)
-            return [late_note(account, self.lives.current)]
-        known = self.account
-        if self._check_account.contradicts(known, account):
-            return [contradiction_note(account)]
+        if self.incarnations.classify(status) is HeartbeatClass.LATE:
+            self.incarnations.note_late(status)
+            return [late_note(status, self.incarnations.current)]
+        known = self.status
+        if self._check_account.contradicts(known, status):
+            return [contradicting_status_note(status)]
         effects: list[Effect] = []
-        if not self.lives.is_current(account.runner):
-            if self.lives.current is not None:
-                effects += self._runner_replaced(now, account.runner)
-            self._foreign.meet(now)
+        if not self.incarnations.is_current(status.runner):
+            if self.incarnations.current is not None:
+                effects += self._runner_replaced(now, status.runner)
+            self._foreign.reset(now)
             known = None
         elif known is not None:
-            self.losses.spoke()
-        self.account = account
-        self.lives.follow(account)
-        effects += self._note_cold(now, account)
-        if known is not None and known.capacity != account.capacity:
-            effects.append(resized_note(account, known.capacity))
-        if account.leaving and not (known and known.leaving):
-            effects.append(note("runner_leaving", runner=str(account.runner)))
+            self.losses.heartbeat_received()
+        self.status = status
+        self.incarnations.follow(status)
+        effects += self._note_cold(now, status)
+        if known is not None and known.capacity != status.capacity:
+            effects.append(resized_note(status, known.capacity))
+        if status.leaving and not (known and known.leaving):
+            effects.append(note("runner_leaving", runner=str(status.runner)))
         return effects
 
     def cold(self, now: float) -> float:
         """Return for how many seconds the runner stays slow yet after its start."""
         return max(0.0, self._cold_until - now)
 
-    def _note_cold(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def _note_cold(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Follow the runner's word on how long it stays slow; it runs down until the next."""
         was_cold = self.cold(now) > 0
-        self._cold_until = now + account.cold
-        self.health.note_cold(now, account.cold)
-        if not account.cold or was_cold:
+        self._cold_until = now + status.cold
+        self.health.set_cold_remaining(now, status.cold)
+        if not status.cold or was_cold:
             return []
-        left = round(account.cold * 1000)
-        return [note("runner_cold", runner=str(account.runner), left_ms=left)]
+        left = round(status.cold * 1000)
+        return [note("runner_cold", runner=str(status.runner), left_ms=left)]
 
-    def runner_left(self, now: float, life: RunnerLife) -> list[Effect]:
+    def runner_deregistered(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
-        current = self.lives.current
-        if current is None or not self.lives.is_current(life):
-            self.lives.note_ended(life)
+        current = self.incarnations.current
+        if current is None or not self.incarnations.is_current(life):
+            self.incarnations.mark_ended(life)
             return []
-        if self.account is not None:
+        if self.status is not None:
             # What still runs there ends with a runner that left as it said: it took nothing down.
-            self.account = replace(self.account, leaving=True)
+            self.status = replace(self.status, leaving=True)
         if current.born and not life.born:
             # It may be the late word of an earlier life: nothing is started until the runner says
             # otherwise, and what runs goes on until looks show that it has ended.
             return [note("runner_leaving", runner=str(current))]
-        self.lives.note_ended(life)
+        self.incarnations.mark_ended(life)
         return self._runner_replaced(now, None)
 
-    def next_look(self, now: float, *, renew: bool) -> Look:
+    def next_poll(self, now: float, *, renew: bool) -> Poll:
         """Return the look to send now; it counts as sent, and renews if an entry's session lives.
 
         After one without an answer, the next only looks, at once: a runner that doesn't answer
         must not have its lease renewed for ever, or its runs could never be given up.
         """
-        self._waited = 0.0 if self._failed_looks else self._look_wait()
-        if self._failed_looks:
-            return Look(self._last_seen, None, 0.0)
+        self._waited = 0.0 if self._failed_polls else self._poll_wait()
+        if self._failed_polls:
+            return Poll(self._last_seen, None, 0.0)
         until = self._lease.next_end(now, self.table) if renew else now
         if until <= now:
-            return Look(self._last_seen, None, self._waited)
+            return Poll(self._last_seen, None, self._waited)
         self._lease.grant(until)
-        return Look(self._last_seen, until, self._waited)
+        return Poll(self._last_seen, until, self._waited)
 
-    def _look_wait(self) -> float:
+    def _poll_wait(self) -> float:
         # The runner's account changes whom a look is meant for: a long one under way is wasted.
-        if not self.clean or self.account is None:
+        if not self.clean or self.status is None:
             return 0.0
-        if any(run.doubted is not None or run.phase is Phase.STOPPING for run in self.table):
+        if any(run.unanswered_at is not None or run.phase is Phase.STOPPING for run in self.table):
             return 0.0
         if not len(self.table):
-            return self._times.hold * IDLE_LOOK_SHARE
-        return min(LOOK_SECONDS, self._times.hold * LOOK_SHARE)
+            return self._times.hold * IDLE_POLL_WAIT_SHARE
+        return min(MAX_POLL_WAIT, self._times.hold * POLL_WAIT_SHARE)
 
-    def looked(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
         """Take the runner's lists of what runs and what has ended."""
         effects = self._reached()
         life = self._life_of(answer)
-        if life is not None and not self.lives.is_current(life):
+        if life is not None and not self.incarnations.is_current(life):
             # What it was asked was meant for the last life: its lists are read with the next look.
             return effects + self._runner_replaced(now, life, answered=self.clean)
         if life is not None:
-            self.lives.answered_as(life)
+            self.incarnations.confirm(life)
         return effects + self._read_lists(now, answer)
 
     def _reached(self) -> list[Effect]:
         """Note that the runner answered."""
-        was_unreachable = self._failed_looks >= UNREACHABLE_LOOKS
-        self._failed_looks = 0
+        was_unreachable = self._failed_polls >= UNREACHABLE_POLLS
+        self._failed_polls = 0
         return [note("runner_reachable")] if was_unreachable else []
 
-    def _life_of(self, answer: LookAnswer) -> RunnerLife | None:
+    def _life_of(self, answer: PollAnswer) -> RunnerIncarnation | None:
         """Return the life that gave an answer, as far as it says; None if none was meant."""
-        current = self.lives.current
-        return None if current is None else RunnerLife(current.id, answer.born)
+        current = self.incarnations.current
+        return None if current is None else RunnerIncarnation(current.id, answer.born)
 
-    def _read_lists(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def _read_lists(self, now: float, answer: PollAnswer) -> list[Effect]:
         effects: list[Effect] = []
-        self.losses.answered()
+        self.losses.poll_answered()
         self._last_seen = max(self._last_seen, answer.listed)
         # This process may have stood still before it read the answer: it shows an earlier moment.
         shown = min(now, answer.sent + self._waited)
         for finished in answer.finished:
             effects += self._listed(now, shown, finished)
         running = {row.run: row.percent for row in answer.running}
-        self._foreign.read(answer, self.table)
+        self._foreign.update(answer, self.table)
         effects += self._stop_foreign()
         for run in self.table:
             if answer.unread_end:
                 run.note_unread_end()
-            if run.outlived:
+            if run.is_orphaned:
                 effects += self._look_for_outlived(now, run, answer, listed=run.id in running)
             elif run.id in running:
                 effects += self._progressed(now, shown, run, running[run.id])
@@ -283,16 +283,16 @@
                 effects += self._look_for(now, run, answer)
         return effects + self._leave_hung(now, shown)
 
-    def _look_for(self, now: float, run: Run, answer: LookAnswer) -> list[Effect]:
+    def _look_for(self, now: float, run: Run, answer: PollAnswer) -> list[Effect]:
         """Decide on a run that a full list doesn't show."""
-        if run.doubted is not None and run.doubted < answer.sent:
+        if run.unanswered_at is not None and run.unanswered_at < answer.sent:
             return [*stop(now, run, End.NOT_STARTED, "start_unanswered")]
-        if run.settled is not None and run.settled < answer.sent:
+        if run.confirmed_at is not None and run.confirmed_at < answer.sent:
             return self._vanished(run)
         return []
 
     def _look_for_outlived(
-        self, now: float, run: Run, answer: LookAnswer, *, listed: bool
+        self, now: float, run: Run, answer: PollAnswer, *, listed: bool
     ) -> list[Effect]:
         """Decide on a run that was ordered of the life before; an order may be carried out late.
 
@@ -300,29 +300,29 @@
         then never begins there. Until then the task must not be placed elsewhere.
         """
         if listed:
-            self._lease.may_have_strayed(now)
-            run.outlived = False
-            run.settled = None
-            run.ordered = now
+            self._lease.extend_for_late_order(now)
+            run.is_orphaned = False
+            run.confirmed_at = None
+            run.ordered_at = now
             return [StopRun(run.id)]
-        if answer.partial or not self._foreign.is_met_by(answer):
+        if answer.partial or not self._foreign.is_after_reset(answer):
             return []
         return self._ended(run, End.LOST, "runner_replaced")
 
-    def look_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
         """Take a renewal that got no answer, or the answer that another id runs there."""
         if other_life:
             return self._runner_replaced(now, None, answered=self.clean)
         effects: list[Effect] = []
-        self.losses.unanswered(now)
-        self._failed_looks += 1
-        if self._failed_looks == UNREACHABLE_LOOKS:
+        self.losses.poll_failed(now)
+        self._failed_polls += 1
+        if self._failed_polls == UNREACHABLE_POLLS:
             effects.append(note("runner_unreachable", runs=len(self.table)))
-            self.losses.silent(now, self.account, self.table)
-        if self._lease.has_killed(now) and len(self.table):
-            effects.append(self.losses.given_up(now, self.account, self.table))
+            self.losses.report_silent(now, self.status, self.table)
+        if self._lease.has_surely_expired(now) and len(self.table):
+            effects.append(self.losses.report_lost(now, self.status, self.table))
             for run in self.table:
-                effects.append(lapsed_note(run, self._lease.over_for(now)))
+                effects.append(lapsed_note(run, self._lease.seconds_past_end(now)))
                 effects += self._ended(run, End.LOST, "lease_lapsed")
             # An order that is still on its way may reach a life whose clock starts anew.
             effects.append(Supersede())
@@ -333,7 +333,7 @@
         run = self.table.get(id_)
         if run is None:
             return []
-        run.settled = now
+        run.confirmed_at = now
         match answer:
             case StartAnswer.STARTED:
                 return self._started(now, run)
@@ -341,10 +341,10 @@
                 return self._no_room(run)
             case StartAnswer.UNKNOWN:
                 return self._doubt(now, run)
-            case StartAnswer.OTHER_LIFE if not run.outlived:
+            case StartAnswer.OTHER_LIFE if not run.is_orphaned:
                 return self._runner_replaced(now, None)
             case StartAnswer.UNHEALTHY:
-                self.health.suspect(now)
+                self.health.mark_sick(now)
             case _:
                 pass
         end = End.STALE if answer is StartAnswer.STALE else End.NOT_STARTED
@@ -356,18 +356,18 @@
         if run is None:
             return []
         if done:
-            run.settled = now
+            run.confirmed_at = now
             return []
-        run.ordered = now
+        run.ordered_at = now
         return []
 
     def state(self) -> RunnerState:
         """Return what the runner may be given."""
-        if self.account is None or self._failed_looks >= UNREACHABLE_LOOKS:
+        if self.status is None or self._failed_polls >= UNREACHABLE_POLLS:
             return RunnerState.DOWN
-        if self.leaving or self.account.leaving:
+        if self.leaving or self.status.leaving:
             return RunnerState.LEAVING
-        if self.evacuations.covers(self.account.hall or self._hall):
+        if self.evacuations.covers(self.status.hall or self._hall):
             return RunnerState.EVACUATED
         return RunnerState.READY
 
@@ -382,37 +382,37 @@
 
         What runs goes on; an order that has not left yet is held back.
         """
-        return self.account is None or not self.table.used.fits(self.account.capacity)
+        return self.status is None or not self.table.used.fits(self.status.capacity)
 
     def free(self) -> Resources:
         """Return the room on the runner."""
-        if self.account is None:
-            return NOTHING
-        return self.account.capacity - self.table.used
+        if self.status is None:
+            return NO_RESOURCES
+        return self.status.capacity - self.table.used
 
     def offered(self, now: float) -> Resources:
         """Return the room that is given to entries now: none while nothing may start."""
         until = self._lease.next_end(now, self.table)
-        return self.free() if self._may_start(now, until) else NOTHING
+        return self.free() if self._may_start(now, until) else NO_RESOURCES
 
     def _order(self, now: float, run: Run, until: float) -> StartRun:
         self._lease.grant(until)
         self.table.add(run)
-        run.began = run.ordered = run.moved = run.seen = now
+        run.decided_at = run.ordered_at = run.progressed_at = run.observed_at = now
         return StartRun(run.id, run.spec, until, run.entry, now)
 
     def _may_start(self, now: float, until: float) -> bool:
         """Whether a run may start under a lease that ends at `until`."""
         if not self.clean or self._foreign or self.state() is not RunnerState.READY:
             return False
-        if self._failed_looks:
+        if self._failed_polls:
             # It may have ended: what is ordered now could not be told from what took it down.
             return False
         if not self._lease.is_enough(now, until):
             return False
         if self.level is Health.GOOD:
             return True
-        return self.level is Health.PROBATION and self.table.used == NOTHING
+        return self.level is Health.PROBATION and self.table.used == NO_RESOURCES
 
     def _why_not_started(self) -> str:
         """Return why nothing may start here now, for the log."""
@@ -420,27 +420,27 @@
             return "runner_not_looked_at"
         if self._foreign:
             return "foreign_runs"
-        return "runner_unanswered" if self._failed_looks else "runner_not_ready"
+        return "runner_unanswered" if self._failed_polls else "runner_not_ready"
 
     def _started(self, now: float, run: Run) -> list[Effect]:
         if run.phase is Phase.STARTING:
-            run.begin(now)
+            run.mark_running(now)
         if run.phase is Phase.RUNNING:
             return []
-        run.ordered = now
-        run.settled = None
+        run.ordered_at = now
+        run.confirmed_at = None
         return [StopRun(run.id)]
 
     def _no_room(self, run: Run) -> list[Effect]:
         if run.phase is not Phase.STARTING:
-            return self._ended(run, run.ending, "no_room")
+            return self._ended(run, run.end_after_stop, "no_room")
         log = rejected_note(run, self.table.used.processor)
         return [log, *self._ended(run, End.NO_ROOM, "rejected")]
 
     def cancel(self, now: float, run: Run, reason: str, since: float | None = None) -> list[Effect]:
         """End a run to which nobody has had a right `since`, or from now on."""
         if run.phase is Phase.STOPPING:
-            run.unwanted = min(run.unwanted, now if since is None else since)
+            run.unwanted_since = min(run.unwanted_since, now if since is None else since)
             return []
         return [*stop(now, run, End.STOPPED, reason, since)]
 
@@ -456,11 +456,11 @@
         if not self.health.is_slow(now):
             return []
         speed = self.health.speed(now)
-        self.health.suspect(now)
+        self.health.mark_sick(now)
         return [
             effect
             for run in self.table
-            if run.phase is Phase.RUNNING and is_better_elsewhere(run, speed)
+            if run.phase is Phase.RUNNING and is_faster_elsewhere(run, speed)
             for effect in stop(now, run, End.STUCK, "slow")
         ]
 
@@ -468,10 +468,10 @@
         """Stop all runs, to run elsewhere, if none of them made progress any more when `shown`."""
         runs = [run for run in self.table if run.phase is Phase.RUNNING]
         if len(runs) < HUNG_RUNS or not all(
-            stands_still(shown, run, self.health.patience(run.moved)) for run in runs
+            is_stalled(shown, run, self.health.overrun_factor(run.progressed_at)) for run in runs
         ):
             return []
-        self.health.suspect(now)
+        self.health.mark_sick(now)
         return [
             effect for run in runs for effect in stop(now, run, End.STUCK, "runner_stands_still")
         ]
@@ -484,21 +484,21 @@
         end = _ENDS[finished.end]
         if finished.end is RunEnd.DONE:
             note_done(now, shown, run, self.health)
-            took = max(shown - run.ordered, MIN_SECONDS)
-            self.health.done(now, run.estimate / took, run.ordered)
+            took = max(shown - run.ordered_at, MIN_SECONDS)
+            self.health.done(now, run.estimate / took, run.ordered_at)
         elif finished.end is RunEnd.FAILED:
             self.health.failed(now)
         elif finished.end is RunEnd.STOPPED:
-            end = run.ending if run.phase is Phase.STOPPING else End.STOPPED
+            end = run.end_after_stop if run.phase is Phase.STOPPING else End.STOPPED
             if end is End.NOT_STARTED:
                 end = End.STOPPED
         return self._ended(run, end, finished.end.value)
 
     def _doubt(self, now: float, run: Run) -> list[Effect]:
         """Let the next look tell whether an unanswered start was carried out."""
-        run.settled = None
+        run.confirmed_at = None
         if run.phase is Phase.STARTING:
-            run.doubted = now
+            run.unanswered_at = now
             return []
         if run.phase is Phase.STOPPING:
             return [StopRun(run.id)]
@@ -506,19 +506,21 @@
 
     def _progressed(self, now: float, shown: float, run: Run, percent: int) -> list[Effect]:
         if run.phase is Phase.STARTING:
-            run.begin(now)
-        run.doubted = None
-        run.settled = now if run.phase is Phase.RUNNING else run.settled
+            run.mark_running(now)
+        run.unanswered_at = None
+        run.confirmed_at = now if run.phase is Phase.RUNNING else run.confirmed_at
         note_progress(now, shown, run, percent, self.health)
-        if run.phase is Phase.RUNNING and is_stuck(shown, run, self.health.patience(run.moved)):
-            self.health.suspect(now)
+        if run.phase is Phase.RUNNING and is_stuck(
+            shown, run, self.health.overrun_factor(run.progressed_at)
+        ):
+            self.health.mark_sick(now)
             return [*stop(now, run, End.STUCK, "no_progress")]
         return []
 
     def _vanished(self, run: Run) -> list[Effect]:
         """End a run that a later look of the runner doesn't know."""
         if run.phase is Phase.STOPPING:
-            return self._ended(run, run.ending, "gone")
+            return self._ended(run, run.end_after_stop, "gone")
         return self._ended(run, End.LOST, "gone")
 
     def _stop_foreign(self) -> list[Effect]:
@@ -530,7 +532,7 @@
         return effects
 
     def _runner_replaced(
-        self, now: float, life: RunnerLife | None, *, answered: bool = True
+        self, now: float, life: RunnerIncarnation | None, *, answered: bool = True
     ) -> list[Effect]:
         """End all that an earlier life of the runner had: it died with it.
 
@@ -539,25 +541,27 @@
         `life`: the one that is known to answer in its place, if any is. An earlier life that has
         never `answered` may be the next one, which the last one makes wait.
         """
-        was = self.lives.current
-        effects: list[Effect] = [note("runner_replaced", was=as_told(was), now=as_told(life))]
-        effects += self.losses.replaced(now, self.account, self.table)
-        strays = life is not None and was is not None and was.shares_id(life)
+        was = self.incarnations.current
+        effects: list[Effect] = [
+            note("runner_replaced", was=format_incarnation(was), now=format_incarnation(life))
+        ]
+        effects += self.losses.report_replaced(now, self.status, self.table)
+        strays = life is not None and was is not None and was.has_same_id(life)
         for run in self.table:
             if strays:
-                run.outlive(now)
+                run.orphan(now)
             else:
                 effects += self._ended(run, End.LOST, "runner_replaced")
         if strays:
-            self._lease.may_have_strayed(now)
+            self._lease.extend_for_late_order(now)
         self.health = RunnerHealth(self._cold_overrun)
         self._cold_until = float("-inf")
         self._last_seen = 0
-        self.account = None
-        self.lives.end(answered=answered)
-        self._foreign.meet(now)
+        self.status = None
+        self.incarnations.end_current(answered=answered)
+        self._foreign.reset(now)
         if life is not None:
-            self.lives.meet(life)
+            self.incarnations.set_current(life)
         return effects
 
     def _ended(self, run: Run, end: End, reason: str) -> list[Effect]:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
@@ -28,8 +28,8 @@
         """
         end = now + self._times.hold
         for run in runs:
-            if run.phase is Phase.STOPPING and run.settled is None:
-                end = min(end, run.unwanted + self._times.hold)
+            if run.phase is Phase.STOPPING and run.confirmed_at is None:
+                end = min(end, run.unwanted_since + self._times.hold)
         return end
 
     def is_enough(self, now: float, end: float) -> bool:
@@ -40,21 +40,21 @@
         """Note that an order brings the runner a lease until `end`."""
         self._end = max(self._end, end)
 
-    def may_have_strayed(self, now: float) -> None:
+    def extend_for_late_order(self, now: float) -> None:
         """Note that the runner's next life may by now have carried an order out for the last."""
-        self._end = max(self._end, now + self._times.strayed)
+        self._end = max(self._end, now + self._times.late_hold_max)
 
-    def stood_still(self, seconds: float) -> None:
+    def clock_paused(self, seconds: float) -> None:
         """Note that the runner's clock may not have moved for so long, as its host was suspended.
 
         A lease that has just been granted is unaffected by it; that it counts as longer is safe.
         """
         self._end += seconds
 
-    def over_for(self, now: float) -> float:
+    def seconds_past_end(self, now: float) -> float:
         """Return for how many seconds the lease has been over; negative if it is not."""
         return now - self._end
 
-    def has_killed(self, now: float) -> bool:
+    def has_surely_expired(self, now: float) -> bool:
         """Whether nothing can be at work any more, however slow the runner's clock is."""
-        return self.over_for(now) > self._times.overrun
+        return self.seconds_past_end(now) > self._times.overrun
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -6,12 +6,12 @@
 from msgspec.structs import replace
 
 from paddleshunt_core.events import Log
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.runnotes import runner_lost_note
 from paddleshunt_core.leased.runtable import Run, RunTable
 from paddleshunt_core.leased.wire import (
     LossId,
-    LossNews,
+    LossUpdate,
     RunnerLost,
     RunnerReturned,
     RunnerSilent,
@@ -31,7 +31,7 @@
     """A loss that was told of a life that may yet answer, and what was known to be at work."""
 
     lost: RunnerLost
-    at_work: list[TaskId]
+    has_started: list[TaskId]
 
 
 @final
@@ -50,46 +50,48 @@
         """What was told of the life that is known, as silent or lost, if it may answer again."""
         self._silence: _Silence | None = None
         """Its loss, if it gave no sign since that was told."""
-        self._news: list[LossNews] = []
+        self._news: list[LossUpdate] = []
 
-    def take_news(self) -> list[LossNews]:
+    def take_news(self) -> list[LossUpdate]:
         """Return which lives fell silent or were lost with their runs, or answer again, once."""
         news = self._news
         self._news = []
         return news
 
-    def answered(self) -> None:
+    def poll_answered(self) -> None:
         """Note that the life that is known answered a look."""
         self._silent_since = None
         self._silence = None
         self._take_back()
 
-    def spoke(self) -> None:
+    def heartbeat_received(self) -> None:
         """Note a heartbeat of the life that is known: it outlived what it was lost with.
 
         That is no answer: the heartbeat may have been held back since before the loss.
         """
         self._silence = None
 
-    def unanswered(self, now: float) -> None:
+    def poll_failed(self, now: float) -> None:
         """Note that a look had no answer."""
         if self._silent_since is None:
             self._silent_since = now
 
-    def silent(self, now: float, account: RunnerAccount | None, table: RunTable) -> None:
+    def report_silent(self, now: float, status: RunnerStatus | None, table: RunTable) -> None:
         """Note that looks in a row had no answer, with runs at work: it may have been lost."""
-        if account is not None and not account.leaving and _own(table):
-            self._told = self._loss(now, account)
+        if status is not None and not status.leaving and _own(table):
+            self._told = self._loss(now, status)
             self._news.append(RunnerSilent(self._told, *self._at_work(now, table)))
 
-    def given_up(self, now: float, account: RunnerAccount | None, table: RunTable) -> Log:
+    def report_lost(self, now: float, status: RunnerStatus | None, table: RunTable) -> Log:
         """Note that what runs there can't be at work any more, as no look had an answer."""
-        return self._lose(now, account, table, SILENT)
+        return self._lose(now, status, table, SILENT)
 
-    def replaced(self, now: float, account: RunnerAccount | None, table: RunTable) -> list[Log]:
+    def report_replaced(
+        self, now: float, status: RunnerStatus | None, table: RunTable
+    ) -> list[Log]:
         """Note that the life that was known has ended; it won't answer again."""
-        logs = [self._lose(now, account, table, REPLACED)] if _own(table) else []
-        if account is not None and account.leaving:
+        logs = [self._lose(now, status, table, REPLACED)] if _own(table) else []
+        if status is not None and status.leaving:
             # It said meanwhile that it ends: its silence was no sign of a loss.
             self._take_back()
         elif self._silence is not None:
@@ -100,20 +102,20 @@
         self._silence = None
         return logs
 
-    def _lose(self, now: float, account: RunnerAccount | None, table: RunTable, how: str) -> Log:
+    def _lose(self, now: float, status: RunnerStatus | None, table: RunTable, how: str) -> Log:
         """Tell of a life and its runs, unless it had said that it ends."""
-        if account is not None and not account.leaving:
-            self._tell(now, account, table, ended=how == REPLACED)
+        if status is not None and not status.leaving:
+            self._tell(now, status, table, ended=how == REPLACED)
         else:
             # It said meanwhile that it ends: its silence was no sign of a loss.
             self._take_back()
-        runner = str(account.runner) if account else ""
+        runner = str(status.runner) if status else ""
         return runner_lost_note(runner, how, self._since(now), _own(table))
 
-    def _tell(self, now: float, account: RunnerAccount, table: RunTable, *, ended: bool) -> None:
-        self._told = self._loss(now, account)
+    def _tell(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
+        self._told = self._loss(now, status)
         lost = RunnerLost(self._told, *self._at_work(now, table))
-        known = {run.id.task for run in _own(table) if run.at_work}
+        known = {run.id.task for run in _own(table) if run.has_started}
         at_work = [task for task in lost.tasks if task in known]
         if ended:
             self._news.append(replace(lost, ended=at_work))
@@ -130,8 +132,8 @@
     def _since(self, now: float) -> float:
         return now if self._silent_since is None else self._silent_since
 
-    def _loss(self, now: float, account: RunnerAccount) -> LossId:
-        return LossId.of(account.runner, int(self._since(now) * 1000))
+    def _loss(self, now: float, status: RunnerStatus) -> LossId:
+        return LossId.of(status.runner, int(self._since(now) * 1000))
 
     def _at_work(self, now: float, table: RunTable) -> tuple[list[TaskId], list[str], list[int]]:
         """Return the tasks at work in order, the queue of each, and its milliseconds of work.
@@ -139,13 +141,15 @@
         What was ordered after the first look without an answer did not take the runner down.
         """
         since = self._since(now)
-        began = (run for run in _own(table) if run.began < since or self._silent_since is None)
-        newest = {run.id.task: run for run in sorted(began, key=lambda run: run.began)}
+        decided_at = (
+            run for run in _own(table) if run.decided_at < since or self._silent_since is None
+        )
+        newest = {run.id.task: run for run in sorted(decided_at, key=lambda run: run.decided_at)}
         tasks = sorted(newest)
-        worked = [max(0, round((since - newest[task].began) * 1000)) for task in tasks]
+        worked = [max(0, round((since - newest[task].decided_at) * 1000)) for task in tasks]
         return tasks, [newest[task].queue for task in tasks], worked
 
 
 def _own(table: RunTable) -> list[Run]:
     """Return the runs that are the known life's own: none that the life before it was ordered."""
-    return [run for run in table if not run.outlived]
+    return [run for run in table if not run.is_orphaned]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterable
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife, as_told
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.wire import End
 
-MOST_NAMED = 16
+MAX_RUNS_LISTED = 16
 """Runs that one line names; a runner seldom has more at work."""
 
 
@@ -19,8 +19,8 @@
     `how`: silent (no answer until its lease was over) or replaced (another life answers). Times are
     milliseconds from a run's start until the runner fell silent.
     """
-    worked = [f"{run.id}:{max(0, round((silent_since - run.began) * 1000))}" for run in runs]
-    named = ",".join(worked[:MOST_NAMED])
+    worked = [f"{run.id}:{max(0, round((silent_since - run.decided_at) * 1000))}" for run in runs]
+    named = ",".join(worked[:MAX_RUNS_LISTED])
     return note("runner_lost", runner=runner, how=how, runs=len(worked), worked_ms=named)
 
 
@@ -42,27 +42,27 @@
         "run": run.id.number,
         "phase": run.phase.name.lower(),
         "lease_over_ms": round(over * 1000),
-        "answered": run.settled is not None,
+        "answered": run.confirmed_at is not None,
     }
     return note("run_lapsed", str(run.id.task), **fields)
 
 
-def late_note(account: RunnerAccount, known: RunnerLife | None) -> Log:
+def late_note(status: RunnerStatus, known: RunnerIncarnation | None) -> Log:
     """Return the line on an account that is passed over; `known`: the life that is followed."""
     fields: dict[str, str | int | float] = {
-        "runner": str(account.runner),
-        "sequence": account.sequence,
-        "leaving": account.leaving,
-        "known": as_told(known),
+        "runner": str(status.runner),
+        "sequence": status.sequence,
+        "leaving": status.leaving,
+        "known": format_incarnation(known),
     }
     return note("heartbeat_late", **fields)
 
 
-def resized_note(account: RunnerAccount, before: Resources) -> Log:
+def resized_note(status: RunnerStatus, before: Resources) -> Log:
     """Return the line that says what a runner that goes on running has now, and had before."""
-    now = account.capacity
+    now = status.capacity
     fields: dict[str, str | int | float] = {
-        "runner": str(account.runner),
+        "runner": str(status.runner),
         "processor": now.processor,
         "processor_before": before.processor,
         "memory": now.memory,
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 from typing import final
 
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.wire import End, RunId, TaskId
 
 
@@ -30,55 +30,55 @@
     estimate: float
     expires: float
     queue: str = ""
-    began: float = 0.0
+    decided_at: float = 0.0
     """When its start was decided."""
     phase: Phase = Phase.STARTING
-    ordered: float = 0.0
+    ordered_at: float = 0.0
     """When the last order about it was sent."""
-    settled: float | None = None
+    confirmed_at: float | None = None
     """When the runner confirmed that order; None while it has not."""
-    doubted: float | None = None
+    unanswered_at: float | None = None
     """When an order to start got no answer; None if it did, or was seen at work since."""
-    still: int = 0
+    stalled_polls: int = 0
     """Looks in a row that showed no progress."""
     percent: int = 0
-    ahead: float = 0.0
+    unreported_work: float = 0.0
     """Seconds beyond `percent` that it may have done and that are counted, up to a hundredth."""
-    moved: float = 0.0
+    progressed_at: float = 0.0
     """When `percent` last rose."""
-    seen: float = 0.0
+    observed_at: float = 0.0
     """Which moment the last look at `percent` showed."""
-    ending: End = End.STOPPED
+    end_after_stop: End = End.STOPPED
     """What to tell the entry once a stop is done."""
-    unwanted: float = 0.0
+    unwanted_since: float = 0.0
     """Since when nobody has a right to it, if it is being stopped."""
-    at_work: bool = False
+    has_started: bool = False
     """Whether it is known to have begun: its start was answered, or a look showed it."""
     may_have_ended: bool = False
     """Whether an end was listed that may be its own: it can't be said to have never run."""
 
-    outlived: bool = False
+    is_orphaned: bool = False
     """Whether the life that it was ordered of has ended, and the next one may have it yet."""
 
     def outlive(self, now: float) -> None:
         """Note that its life has ended: if the next one under the same id has it, it must stop."""
         self.phase = Phase.STOPPING
-        self.unwanted = self.settled = now
-        self.doubted = None
-        self.ending = End.LOST
-        self.outlived = True
+        self.unwanted_since = self.confirmed_at = now
+        self.unanswered_at = None
+        self.end_after_stop = End.LOST
+        self.is_orphaned = True
 
     def note_unread_end(self) -> None:
         """Note that an end was listed of which the run could not be read."""
         self.may_have_ended = True
-        if self.ending is End.NOT_STARTED:
-            self.ending = End.LOST
+        if self.end_after_stop is End.NOT_STARTED:
+            self.end_after_stop = End.LOST
 
-    def begin(self, now: float) -> None:
+    def mark_running(self, now: float) -> None:
         """Note that it is known to be at work; what passed before that is not its runner's time."""
         self.phase = Phase.RUNNING
-        self.at_work = True
-        self.moved = self.seen = now
+        self.has_started = True
+        self.progressed_at = self.observed_at = now
 
 
 @final
@@ -89,7 +89,7 @@
         self._runs: dict[RunId, Run] = {}
         self._tasks: Counter[TaskId] = Counter()
         self._entries: Counter[str] = Counter()
-        self.used = NOTHING
+        self.used = NO_RESOURCES
 
     def __len__(self) -> int:
         return len(self._runs)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/lessons.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -5,27 +5,29 @@
 
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, TaskRecord
-from paddleshunt_core.leased.lengths import Expectation, Lengths
 from paddleshunt_core.leased.placement import Placement
-from paddleshunt_core.leased.speeds import Speeds, work_of
+from paddleshunt_core.leased.speeds import Speeds, work_seconds
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.tasklengths import JobPrediction, TaskLengthModels
 from paddleshunt_core.leased.wire import Health
 
 
 @final
-class Lessons:
+class RuntimeEstimator:
     """Learns from the ends that one entry sees."""
 
     def __init__(self, placement: Placement, speeds: Speeds) -> None:
         self._placement = placement
         self._speeds = speeds
-        self._lengths = Lengths()
+        self._lengths = TaskLengthModels()
 
-    def expect(self, queue: Queue, request: JobRequest) -> Expectation:
+    def predict(self, queue: Queue, request: JobRequest) -> JobPrediction:
         """Return how long a task of a job is expected to take, and how old the job seems."""
-        return self._lengths.of(queue.name).expect(request.estimate, request.deadline)
+        return self._lengths.of(queue.name).predict(request.estimate, request.deadline)
 
-    def ended(self, now: float, job: JobRecord, task: TaskRecord, target: TargetRecord) -> None:
+    def task_completed(
+        self, now: float, job: JobRecord, task: TaskRecord, target: TargetRecord
+    ) -> None:
         """Learn from a task that has ended well how long its queue's tasks take.
 
         One on a runner that is not well says nothing, nor does one that was sent to a cold runner.
@@ -35,10 +37,10 @@
         if target.report is None or target.report.health is not Health.GOOD:
             return
         request = job.request
-        work = work_of(now - task.placed_at) / self._placement.away_factor(job, target)
+        work = work_seconds(now - task.placed_at) / self._placement.locality_factor(job, target)
         task.work, task.ran_on = work, target.runner
-        sound = work * self._speeds.typical(job.queue.service) / target.slowness
-        self._lengths.of(job.queue.name).ended(request.estimate, request.deadline, sound)
+        sound = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
+        self._lengths.of(job.queue.name).observe(request.estimate, request.deadline, sound)
 
     def compare_tasks(self, job: JobRecord, targets: Mapping[str, TargetRecord]) -> None:
         """Learn from what the tasks of a job that has ended took how slow hosts are."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -4,7 +4,7 @@
 differs by from its kind is its own deviation (`TargetRecord.deviation`). Both are learned by
 comparing the tasks of one job, which are alike, so that a wrong length says nothing of a host.
 That matters: the tasks that are thought to be short are those that slow hosts are given. Lengths
-are meant for a usual host (`typical`, the mean over the targets known).
+are meant for a usual host (`typical_slowness`, the mean over the targets known).
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.jobs import OVERHEAD_SECONDS
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import KindSpeed, SpeedNews
+from paddleshunt_core.leased.wire import KindSpeed, SpeedUpdate
 
 MEMORY_ENDS = 200.0
 """Ends that count in a kind's factor at most: a change of it is followed within about so many."""
@@ -189,7 +189,7 @@
         """Kinds that a target reported to be."""
         self._faded: float | None = None
 
-    def typical(self, service: str) -> float:
+    def typical_slowness(self, service: str) -> float:
         """Return the slowness of a usual host; a job's length is meant for such a one."""
         return self._typical.get(service, 1.0)
 
@@ -205,7 +205,7 @@
         """
         return service in self._unproven
 
-    def reported(self, target: TargetRecord) -> None:
+    def set_kind_factor(self, target: TargetRecord) -> None:
         """Give a target the factor of the kind that its report names."""
         report = target.report
         if report is not None:
@@ -237,19 +237,19 @@
         for sample in samples:
             others = [s.length for s in samples if s is not sample]
             if others:
-                sample.target.took(sample.length / _mean(others), 1.0)
+                sample.target.observe_duration_ratio(sample.length / _mean(others), 1.0)
             else:
                 # A length is meant for a usual host, and what a sample tells for one of factor 1.
-                ratio = sample.length * self.typical(sample.kind[0]) / expected
-                sample.target.took(ratio, LENGTH_WEIGHT_ALONE)
-            self.reported(sample.target)
+                ratio = sample.length * self.typical_slowness(sample.kind[0]) / expected
+                sample.target.observe_duration_ratio(ratio, LENGTH_WEIGHT_ALONE)
+            self.set_kind_factor(sample.target)
 
     def tick(self, now: float, targets: Iterable[TargetRecord]) -> None:
         """Compare hosts if they have not been for a while."""
         if self._faded is None or now >= self._faded + COMPARE_SECONDS:
-            self.compare(now, targets)
+            self.refresh(now, targets)
 
-    def compare(self, now: float, targets: Iterable[TargetRecord]) -> None:
+    def refresh(self, now: float, targets: Iterable[TargetRecord]) -> None:
         """Note how slow hosts usually are, and let go of what has not shown for a while."""
         seconds = 0.0 if self._faded is None else max(0.0, now - self._faded)
         self._faded = now
@@ -272,13 +272,13 @@
                 factor = known[kind] = self.factor(*kind)
             target.kind_factor = factor
             if target.deviation != 1.0:
-                target.faded(seconds)
+                target.decay_deviation(seconds)
             factors.setdefault(report.service, []).append(factor)
         self._present = set(known)
         self._note_unproven(known)
         self._typical = {name: sum(each) / len(each) for name, each in factors.items()}
 
-    def all(self) -> list[KindSpeed]:
+    def snapshot(self) -> list[KindSpeed]:
         """Return what is known of each kind, for operators; other entries are told less."""
         return [self._word(kind, evidence) for kind, evidence in self._kinds.items()]
 
@@ -295,25 +295,25 @@
 
     # Other entries.
 
-    def known(self) -> SpeedNews | None:
+    def export(self) -> SpeedUpdate | None:
         """Return all that was learned here, for an entry that was just met."""
         kinds = [
             self._word(kind, evidence)
             for kind, evidence in self._kinds.items()
             if evidence.own >= LEAST_TOLD
         ]
-        return SpeedNews(kinds) if kinds else None
+        return SpeedUpdate(kinds) if kinds else None
 
-    def news(self) -> SpeedNews | None:
+    def take_changes(self) -> SpeedUpdate | None:
         """Return what was learned here since the last call; None if that is nothing."""
         kinds = []
         for kind, evidence in self._kinds.items():
             if evidence.is_news():
                 evidence.told, evidence.told_own = evidence.seen, evidence.own
                 kinds.append(self._word(kind, evidence))
-        return SpeedNews(kinds) if kinds else None
+        return SpeedUpdate(kinds) if kinds else None
 
-    def told(self, news: SpeedNews) -> list[KindSpeed]:
+    def merge(self, news: SpeedUpdate) -> list[KindSpeed]:
         """Take another entry's word where it knows much more, and return what was taken.
 
         What is taken counts for a few ends, so that those seen here soon weigh more, and is told
@@ -334,7 +334,7 @@
                 return False
             known = self._evidence(kind)
         slowness = _bounded(word.slowness_thousandths / 1000, FARTHEST_WORD)
-        factor = slowness * self.typical(word.service)
+        factor = slowness * self.typical_slowness(word.service)
         known.weight = known.paired = min(ends / TRUSTED_MORE, PROVEN)
         seen = factor ** ((known.weight + BELIEF_ENDS) / known.weight)
         known.seen = known.told = _bounded(seen, FARTHEST_FACTOR)
@@ -343,7 +343,7 @@
 
     def _word(self, kind: Kind, evidence: _Evidence) -> KindSpeed:
         service, name = kind
-        slowness = evidence.factor / self.typical(service)
+        slowness = evidence.factor / self.typical_slowness(service)
         return KindSpeed(service, name, round(1000 * slowness), round(evidence.own))
 
     def _evidence(self, kind: Kind) -> _Evidence:
@@ -377,12 +377,12 @@
     return product
 
 
-def work_of(took: float) -> float:
+def work_seconds(took: float) -> float:
     """Return how long a run worked that took so many seconds from its sending to its end."""
     return max(took / 2, took - OVERHEAD_SECONDS)
 
 
-def kind_note(word: KindSpeed, source: str) -> Log:
+def kind_speed_log(word: KindSpeed, source: str) -> Log:
     """Return the line that says what was taken from another entry."""
     fields: dict[str, str | int | float] = {
         "service": word.service,
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/stopping.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/stopping.py
@@ -16,22 +16,26 @@
 
     A run whose order to start is under way is stopped when that is answered.
     """
-    under_way = run.phase is Phase.STARTING and run.settled is None and run.doubted is None
+    under_way = (
+        run.phase is Phase.STARTING and run.confirmed_at is None and run.unanswered_at is None
+    )
     run.phase = Phase.STOPPING
-    run.unwanted = now if since is None else since
-    run.doubted = None
-    run.ending = End.LOST if run.may_have_ended and ending is End.NOT_STARTED else ending
+    run.unwanted_since = now if since is None else since
+    run.unanswered_at = None
+    run.end_after_stop = (
+        End.LOST if run.may_have_ended and end_after_stop is End.NOT_STARTED else end_after_stop
+    )
     log = note("run_stopping", str(run.id.task), run=run.id.number, reason=reason)
     if under_way:
         return [log]
-    run.ordered = now
-    run.settled = None
+    run.ordered_at = now
+    run.confirmed_at = None
     return [log, StopRun(run.id)]
 
 
 def stop_again(now: float, run: Run) -> list[StopRun | Log]:
     """Send the order once more if the runner has not confirmed it in time."""
-    if run.settled is not None or now <= run.ordered + STOP_RETRY:
+    if run.confirmed_at is not None or now <= run.ordered_at + STOP_RETRY:
         return []
-    run.ordered = now
+    run.ordered_at = now
     return [StopRun(run.id)]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/lengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -40,7 +40,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Expectation:
+class JobPrediction:
     """What a job is expected to be: `length` of a task and `age` since its first try, seconds."""
 
     length: float
@@ -48,7 +48,7 @@
 
 
 @final
-class QueueLengths:
+class TaskLengthModel:
     """Least squares over the ends of one queue, each weighted by its estimate's inverse square."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self._line = (0.0, 1.0, 0.0)
         self._stale = False
 
-    def ended(self, estimate: float, deadline: float, took: float) -> None:
+    def observe(self, estimate: float, deadline: float, took: float) -> None:
         """Note that a task of a job with these figures took `took` seconds."""
         ratio = min(FARTHEST, max(1 / FARTHEST, took / estimate))
         row = _row(estimate, deadline)
@@ -67,15 +67,15 @@
             self._products[i] = MEMORY * self._products[i] + row[i] * ratio
         self._stale = True
 
-    def expect(self, estimate: float, deadline: float) -> Expectation:
+    def predict(self, estimate: float, deadline: float) -> JobPrediction:
         """Return the length and age of a job with these figures."""
         offset, slope, patience = self._fitted()
         length = offset + slope * estimate + patience * deadline
         if length < OLD_RATIO * estimate and patience > LEAST_DEADLINE_SLOPE:
             usual = (estimate - offset - slope * estimate) / patience
-            return Expectation(estimate, max(0.0, usual - deadline))
+            return JobPrediction(estimate, max(0.0, usual - deadline))
         least, most = estimate / FARTHEST, estimate * FARTHEST
-        return Expectation(min(most, max(least, length)))
+        return JobPrediction(min(most, max(least, length)))
 
     def _fitted(self) -> tuple[float, float, float]:
         if self._stale:
@@ -90,15 +90,15 @@
 
 
 @final
-class Lengths:
+class TaskLengthModels:
     """The lengths of all queues, by name; what was not asked for longest is forgotten first."""
 
     def __init__(self) -> None:
-        self._queues: dict[str, QueueLengths] = {}
+        self._queues: dict[str, TaskLengthModel] = {}
 
-    def of(self, queue: str) -> QueueLengths:
+    def of(self, queue: str) -> TaskLengthModel:
         """Return what is known of a queue."""
-        lengths = self._queues.pop(queue, None) or QueueLengths()
+        lengths = self._queues.pop(queue, None) or TaskLengthModel()
         self._queues[queue] = lengths
         if len(self._queues) > MOST_QUEUES:
             del self._queues[next(iter(self._queues))]
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -5,34 +5,34 @@
 from typing import Protocol, final
 
 from paddleshunt_core.leased.catalog import Catalog
-from paddleshunt_core.leased.catalogspread import LINK_MBPS, AskFor, CatalogSpread, HandOut
+from paddleshunt_core.leased.catalogsync import LINK_MBPS, CatalogSync, RequestCatalog, SendCatalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.wire import (
     Body,
-    CatalogNews,
+    CatalogUpdate,
     CatalogVersion,
     Entries,
     EntryAddress,
     EntryChanges,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Hello,
-    LossNews,
+    LossUpdate,
     PackedCatalog,
     RunnerLost,
     RunnerReturned,
     RunnerSilent,
-    SpeedNews,
-    TargetsHeld,
+    SessionCount,
+    SpeedUpdate,
 )
 
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.catalogpack import CatalogPackError, pack, unpack
 from paddleshunt_node.aio.dialer import Dialer
+from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
-from paddleshunt_node.aio.peerwords import readable
 
 GOSSIP_SECONDS = 0.4
 """Seconds between two messages to each other entry."""
@@ -63,7 +63,7 @@
     def evacuations(self) -> Evacuations:
         """The evacuated halls that are known."""
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         """Take a configuration that another entry has."""
 
     def asked_for_catalog(self, peer: str) -> None:
@@ -72,20 +72,20 @@
     def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
         """Take note that another entry was sent the configuration."""
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Take the evacuated halls that another entry knows."""
 
-    def known_losses(self) -> list[LossNews]:
+    def known_losses(self) -> list[LossUpdate]:
         """Return what is remembered of lost runners."""
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def told_loss(self, news: LossUpdate, source: str) -> None:
         """Take another entry's word on a lost runner."""
 
     @property
     def speeds(self) -> Speeds:
         """What is known of how slow the kinds of hosts are."""
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def told_speeds(self, news: SpeedUpdate, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
 
     def targets_held(self) -> int:
@@ -126,7 +126,7 @@
         self._turn = 0
         self.sheds = False
         """Whether this host's link is pressed, so that what can wait is left out."""
-        self._spread = CatalogSpread(Random(), link_mbps)
+        self._spread = CatalogSync(Random(), link_mbps)
         self._askers: dict[str, PeerLink] = {}
         """By name, the connection over which an entry has asked for the configuration."""
         self._packed = PackedCatalog(0, b"")
@@ -162,17 +162,17 @@
         """Return the entries that targets have been told of; what changes is told to all."""
         return sorted(self._told.values())
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         """Dial an entry that was heard of."""
         self._dialer.want(clock.now(), entry.address)
 
     def note(self, entry: EntryAddress) -> None:
         """Take an entry's greeting."""
-        if not readable([entry], entry.name, self._owner.refuse):
+        if not valid_entries([entry], entry.name, self._owner.refuse):
             return
         known = self._known.get(entry.name)
         self._known[entry.name] = (entry, clock.now())
-        self.met(entry)
+        self.entry_discovered(entry)
         if known is None or known[0] != entry:
             self._owner.found(entry)
             self._send_all(Entries([entry]))
@@ -180,14 +180,14 @@
 
     def tell_catalog(self, catalog: Catalog) -> None:
         """Tell all which version is in force now; who can't get it elsewhere asks for it."""
-        self._spread.adopted(catalog.version)
+        self._spread.set_version(catalog.version)
         self._send_all(CatalogVersion(catalog.version))
 
     def tell_evacuations(self, evacuated: EvacuatedHalls) -> None:
         """Tell all which halls are evacuated."""
-        self._send_all(EvacuationNews(evacuated))
+        self._send_all(EvacuationUpdate(evacuated))
 
-    def tell_loss(self, news: LossNews) -> None:
+    def tell_loss(self, news: LossUpdate) -> None:
         """Hand a word on a lost runner on to all."""
         self._send_all(news)
 
@@ -207,10 +207,10 @@
             self._tell_changes()
             self._send_all(
                 CatalogVersion(self._owner.catalog.version),
-                EvacuationNews(self._owner.evacuations.known),
-                TargetsHeld(self._owner.targets_held()),
+                EvacuationUpdate(self._owner.evacuations.known),
+                SessionCount(self._owner.targets_held()),
             )
-            learned = self._owner.speeds.news()
+            learned = self._owner.speeds.take_changes()
             if learned is not None:
                 self._send_all(learned)
             links = self._dialer.links()
@@ -244,7 +244,7 @@
     def _take_version(self, link: PeerLink, told: CatalogVersion) -> None:
         if told.wanted:
             self._askers[link.peer] = link
-            self._spread.asked(link.peer, told.version)
+            self._spread.on_request(link.peer, told.version)
         else:
             self._spread.told(clock.now(), link.peer, told.version)
         self._spread_when_due()
@@ -253,9 +253,9 @@
         try:
             catalog = unpack(packed)
         except CatalogPackError as problem:
-            self._owner.refuse(Refusal(Word.CONFIGURATION, link.peer, str(problem)))
+            self._owner.refuse(Refusal(InputKind.CONFIGURATION, link.peer, str(problem)))
             return
-        self._owner.adopt(catalog, link.peer)
+        self._owner.adopt_catalog(catalog, link.peer)
 
     def _spread_when_due(self) -> None:
         due = self._spread.due()
@@ -273,11 +273,11 @@
     def _spread_catalog(self) -> None:
         """Ask for a configuration, or hand a copy out, if it is time."""
         self._spreading = None
-        for step in self._spread.act(clock.now(), hands_out=not self.sheds):
+        for step in self._spread.act(clock.now(), may_send=not self.sheds):
             match step:
-                case AskFor():
+                case RequestCatalog():
                     self._ask_for_catalog(step.peer)
-                case HandOut():
+                case SendCatalog():
                     self._hand_out_catalog(step.peer)
         self._spread_when_due()
 
@@ -295,24 +295,24 @@
             self._packed = pack(catalog)
         size = len(self._packed.content)
         self._askers.pop(peer).send(_loose(self._packed))
-        self._spread.handed_out(clock.now(), size)
+        self._spread.copy_sent(clock.now(), size)
         self._owner.handed_out_catalog(peer, size)
 
     # Connections that this entry has made.
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         """Greet an entry that was dialled; tell it all others, lost runners and kinds of hosts."""
         link.send(self._greeting)
-        speeds = self._owner.speeds.known()
+        speeds = self._owner.speeds.export()
         known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
         version = CatalogVersion(self._owner.catalog.version)
         link.send(_loose(Entries(self.live()), version, *known))
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Take the greeting of an entry that was dialled."""
         self.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Take what another entry says, over whichever connection."""
         for body in frame.bodies:
             self._take(link, body)
@@ -323,16 +323,16 @@
     def _take(self, link: PeerLink, body: Body) -> None:
         match body:
             case Entries():
-                for entry in readable(body.entries, link.peer, self._owner.refuse):
-                    self.met(entry)
-            case EvacuationNews():
-                if self._owner.evacuations.outdates(body.evacuated):
-                    link.send(_loose(EvacuationNews(self._owner.evacuations.known)))
-                self._owner.learn(body.evacuated, link.peer)
+                for entry in valid_entries(body.entries, link.peer, self._owner.refuse):
+                    self.entry_discovered(entry)
+            case EvacuationUpdate():
+                if self._owner.evacuations.supersedes(body.evacuated):
+                    link.send(_loose(EvacuationUpdate(self._owner.evacuations.known)))
+                self._owner.apply_evacuations(body.evacuated, link.peer)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
                 self._owner.told_loss(body, link.peer)
-            case CatalogNews():
-                self._owner.adopt(body.catalog, link.peer)
+            case CatalogUpdate():
+                self._owner.adopt_catalog(body.catalog, link.peer)
             case PackedCatalog():
                 self._unpack(link, body)
             case CatalogVersion():
@@ -342,20 +342,20 @@
 
     def _take_figures(self, link: PeerLink, body: Body) -> None:
         match body:
-            case SpeedNews():
+            case SpeedUpdate():
                 self._owner.told_speeds(body, link.peer)
-            case TargetsHeld():
+            case SessionCount():
                 self._owner.told_targets(body.count, link.peer)
             case _:
                 pass
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         """Take note of a message that can't be read."""
         self._owner.refuse(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         """Make another connection."""
-        self._spread.left(link.peer)
+        self._spread.peer_left(link.peer)
         self._askers.pop(link.peer, None)
         self._dialer.lost(link)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -9,11 +9,11 @@
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
-from paddleshunt_core.leased.catalogspread import LINK_MBPS
+from paddleshunt_core.leased.catalogsync import LINK_MBPS
 from paddleshunt_core.leased.dispatcher import Dispatcher, Effect
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.linkpressure import PressureLevel
-from paddleshunt_core.leased.outcomes import AnswerJob, Completed, HandOn, Refused
+from paddleshunt_core.leased.outcomes import AnswerJob, BroadcastLoss, Completed, Refused
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.speeds import Speeds
@@ -24,8 +24,8 @@
     EntryChanges,
     Frame,
     Hello,
-    LossNews,
-    SpeedNews,
+    LossUpdate,
+    SpeedUpdate,
 )
 
 from paddleshunt_node.aio import clock
@@ -34,17 +34,17 @@
 from paddleshunt_node.aio.entrypeers import EntryPeers
 from paddleshunt_node.aio.framing import PeerLink
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
-from paddleshunt_node.aio.linkmeter import LinkMeter, Metered
-from paddleshunt_node.aio.loop import once_known
+from paddleshunt_node.aio.linkmeter import LinkMeter, MeteredConnection
+from paddleshunt_node.aio.loop import call_after_pending_io
 from paddleshunt_node.aio.ports import CallerCodec, StorePort
-from paddleshunt_node.aio.process import OperatorPages, Surroundings, serve_pages
+from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
 from paddleshunt_node.aio.sockets import serve
 from paddleshunt_node.aio.storefollower import StoreFollower
 
-LONELY_SECONDS = 3.0
+READY_WITHOUT_TARGETS_SECONDS = 3.0
 """Seconds after the start from which an entry is ready even without a target."""
 
-NOTICED_SECONDS = 2.3
+BALANCER_DELAY_SECONDS = 2.3
 """Seconds that the balancer may take to notice that this entry is leaving."""
 
 LEAVING_PAUSE = 0.02
@@ -95,11 +95,11 @@
         config: EntryConfig,
         codec: CallerCodec,
         store: StorePort,
-        surroundings: Surroundings,
+        surroundings: ProcessContext,
     ) -> None:
         self._config = config
         self._codec = codec
-        self._around = surroundings
+        self._context = surroundings
         self._times = lease_times(config.bounds)
         self._life = os.urandom(6).hex()
         bounds = config.bounds
@@ -128,7 +128,7 @@
             surroundings,
             self._connections,
             lambda: self._dispatcher.echo_age(self._now()),
-            self._times.usual_echo,
+            self._times.normal_echo_age,
         )
         self._loop: asyncio.AbstractEventLoop
         self._flushing = False
@@ -144,7 +144,7 @@
     async def run(self) -> None:
         """Serve until told to stop, then leave."""
         await self._start()
-        await self._around.stopping.wait()
+        await self._context.stopping.wait()
         await self._leave()
 
     def describe(self) -> dict[str, object]:
@@ -168,31 +168,31 @@
         await self._callers.start(self._config.callers)
         await HttpServer(_Readiness(self)).start(self._config.ready)
         await serve(lambda: PeerLink(self._target_side, self._times.session), self._config.peers)
-        pages = OperatorPages(self._around.measures, self.describe)
-        await serve_pages(pages, self._config.metrics, self._around)
+        pages = OperatorPages(self._context.metrics, self.describe)
+        await serve_pages(pages, self._config.metrics, self._context)
         add_entry_gauges(
-            self._around.measures,
+            self._context.metrics,
             self._dispatcher,
             lambda: self.catalog.version,
             lambda: len(self._links),
         )
         self._meter.show()
-        self._around.event("started", role="entry", node=self._config.name, life=self._life)
-        self._around.spawn(self._peers.dial_for_ever())
-        self._around.spawn(self._tick_for_ever())
-        self._around.spawn(self._peers.gossip_for_ever())
-        self._around.spawn(self._follower.follow())
-        self._around.spawn(self._follower.announce())
+        self._context.event("started", role="entry", node=self._config.name, life=self._life)
+        self._context.spawn(self._peers.dial_for_ever())
+        self._context.spawn(self._tick_for_ever())
+        self._context.spawn(self._peers.gossip_for_ever())
+        self._context.spawn(self._follower.follow())
+        self._context.spawn(self._follower.announce())
 
     async def _leave(self) -> None:
         began = self._now()
         self._leaving = True
         self._callers.closing = True
-        self._around.event("leaving", jobs=self._dispatcher.jobs)
-        self._around.spawn(self._follower.withdraw())
+        self._context.event("leaving", jobs=self._dispatcher.jobs)
+        self._context.spawn(self._follower.withdraw())
         last = began + self._config.bounds.grace - END_MARGIN
         self._dispatcher.leave(last)
-        noticed = min(began + NOTICED_SECONDS, last)
+        noticed = min(began + BALANCER_DELAY_SECONDS, last)
         while self._now() < noticed:
             await asyncio.sleep(LEAVING_PAUSE)
         # New connections go elsewhere by now, but callers may still hand in over kept ones.
@@ -204,8 +204,8 @@
         self._callers.stop_listening()
         self._callers.close_idle()
         await asyncio.sleep(0.05)
-        self._around.cancel()
-        self._around.event("stopped", after_ms=round((self._now() - began) * 1000))
+        self._context.cancel()
+        self._context.event("stopped", after_ms=round((self._now() - began) * 1000))
 
     def reload(self, seeds: set[str]) -> None:
         """Adopt new settings."""
@@ -223,9 +223,9 @@
             return False
         if self._is_turning_away(self._now()):
             return False
-        if self._targetless.sends_elsewhere(self._now()):
+        if self._targetless.should_be_unready(self._now()):
             return False
-        return bool(self._links) or self._now() > self._began + LONELY_SECONDS
+        return bool(self._links) or self._now() > self._began + READY_WITHOUT_TARGETS_SECONDS
 
     def handle(self, exchange: Exchange) -> None:
         """Take a caller's request."""
@@ -253,7 +253,9 @@
 
     def _place_soon(self) -> None:
         """Place what has just come, once the connections that have ended are known."""
-        once_known(self._loop, lambda: self._act(self._dispatcher.place_arrived(self._now())))
+        call_after_pending_io(
+            self._loop, lambda: self._act(self._dispatcher.place_new_jobs(self._now()))
+        )
 
     def abandoned(self, exchange: Exchange) -> None:
         """Stop the work of a caller that left."""
@@ -264,9 +266,9 @@
     def _act(self, effects: list[Effect], *, flush: bool = True) -> None:
         for effect in effects:
             if isinstance(effect, Log):
-                self._around.log(effect)
-                self._around.measures.event(effect.event)
-            elif isinstance(effect, HandOn):
+                self._context.log(effect)
+                self._context.metrics.event(effect.event)
+            elif isinstance(effect, BroadcastLoss):
                 self._peers.tell_loss(effect.news)
             else:
                 self._answer(effect)
@@ -277,9 +279,9 @@
         outcome = effect.outcome
         kind = type(outcome).__name__.lower()
         reason = "" if isinstance(outcome, Completed) else outcome.reason
-        self._around.measures.answered(kind, reason)
-        self._around.measures.stage("answered", effect.waited)
-        self._around.event(
+        self._context.metrics.answered(kind, reason)
+        self._context.metrics.stage("answered", effect.waited)
+        self._context.event(
             "job_answered",
             job=effect.key,
             outcome=kind,
@@ -297,14 +299,14 @@
     def _target_side(self) -> "_TargetSide":
         return _TargetSide(self)
 
-    def target_greeted(self, link: PeerLink, hello: Hello) -> None:
+    def accept_hello(self, link: PeerLink, hello: Hello) -> None:
         """Take the greeting of a target, or of another entry."""
         now = self._now()
         if hello.entry:
             self._peers.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
             link.send(self._hello(0, 0))
             return
-        session, effects = self._dispatcher.greeted(now, hello)
+        session, effects = self._dispatcher.handle_hello(now, hello)
         self._act(effects)
         if session is None:
             link.send(self._hello(0, 0))
@@ -317,15 +319,15 @@
         session.send(Entries(self._peers.told()))
         self._flush_soon()
 
-    def target_heard(self, link: PeerLink, frame: Frame) -> None:
+    def accept_frame(self, link: PeerLink, frame: Frame) -> None:
         """Take a frame of a target, or of another entry."""
         if self._links.get(link.peer) is link:
             now = self._now()
-            self._act(self._dispatcher.heard(now, link.peer, frame))
-            if self._dispatcher.owes_answer(now, link.peer, frame):
+            self._act(self._dispatcher.handle_frame(now, link.peer, frame))
+            if self._dispatcher.needs_immediate_reply(now, link.peer, frame):
                 self._owed.add(link.peer)
         else:
-            self._peers.heard(link, frame)
+            self._peers.frame_received(link, frame)
 
     def link_closed(self, link: PeerLink) -> None:
         """Take the end of a connection."""
@@ -337,11 +339,11 @@
 
     def refuse(self, refusal: Refusal) -> None:
         """Take note of a word that can't be read."""
-        self._around.refuse(refusal)
+        self._context.refuse(refusal)
 
     def found(self, entry: EntryAddress) -> None:
         """Take note of an entry that is new, or has moved."""
-        self._around.event("entry_found", entry=entry.name, address=entry.address)
+        self._context.event("entry_found", entry=entry.name, address=entry.address)
 
     def tell_targets(self, changes: EntryChanges) -> None:
         """Tell the targets which entries have joined or gone."""
@@ -355,26 +357,26 @@
         """Whether no other entry has been met."""
         return not self._peers.names()
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         """Dial an entry that was heard of."""
-        self._peers.met(entry)
+        self._peers.entry_discovered(entry)
 
-    def known_losses(self) -> list[LossNews]:
+    def known_losses(self) -> list[LossUpdate]:
         """Return what is remembered of lost runners."""
         return self._dispatcher.known_losses(self._now())
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def told_loss(self, news: LossUpdate, source: str) -> None:
         """Take another entry's word on a lost runner."""
-        self._act(self._dispatcher.told_loss(self._now(), news, source))
+        self._act(self._dispatcher.handle_loss_update(self._now(), news, source))
 
     @property
     def speeds(self) -> Speeds:
         """What is known of how slow the kinds of hosts are."""
         return self._dispatcher.speeds
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def told_speeds(self, news: SpeedUpdate, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
-        self._act(self._dispatcher.told_speeds(self._now(), news, source))
+        self._act(self._dispatcher.handle_speed_update(self._now(), news, source))
 
     def targets_held(self) -> int:
         """Return how many targets are in session, for other entries."""
@@ -382,7 +384,7 @@
 
     def told_targets(self, targets: int, source: str) -> None:
         """Take another entry's word on how many targets it has."""
-        self._targetless.told(self._now(), source, targets)
+        self._targetless.record_peer_count(self._now(), source, targets)
 
     # The operator's word.
 
@@ -391,14 +393,14 @@
         """The evacuated halls that are known."""
         return self._dispatcher.evacuations
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Follow a word of evacuated halls if it is newer, and hand it on."""
         before = self.evacuations.known
-        self._act(self._dispatcher.told_evacuations(self._now(), evacuated, source))
+        self._act(self._dispatcher.handle_evacuations(self._now(), evacuated, source))
         if set(self.evacuations.known.halls) != set(before.halls):
             self._peers.tell_evacuations(self.evacuations.known)
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         """Follow `catalog` if it is newer than the one in force."""
         if catalog.version <= self.catalog.version:
             return
@@ -409,29 +411,31 @@
         limits.body_bytes = catalog.limits.body_bytes
         limits.header_timeout = catalog.limits.header_timeout
         limits.idle_timeout = catalog.limits.idle_timeout
-        self._around.event("catalog_adopted", version=catalog.version, before=before, source=source)
+        self._context.event(
+            "catalog_adopted", version=catalog.version, before=before, source=source
+        )
         self._peers.tell_catalog(catalog)
         for exchange, waited in self._early.release():
             self._handle(exchange, waited)
 
     def asked_for_catalog(self, peer: str) -> None:
         """Take note that another entry was asked for its configuration."""
-        self._around.event("catalog_asked_for", entry=peer, version=self.catalog.version)
+        self._context.event("catalog_asked_for", entry=peer, version=self.catalog.version)
 
     def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
         """Take note that another entry was sent the configuration."""
         version = self.catalog.version
-        self._around.event(
+        self._context.event(
             "catalog_handed_out", entry=peer, version=version, packed_bytes=packed_bytes
         )
 
     # The own link.
 
-    def _connections(self) -> list[Metered]:
+    def _connections(self) -> list[MeteredConnection]:
         return [*self._links.values(), *self._peers.links(), *self._callers.open]
 
     def _is_turning_away(self, now: float) -> bool:
-        return self._meter.pressure.turns_away(now) and self._knows_another()
+        return self._meter.pressure.rejects_connections(now) and self._knows_another()
 
     def _knows_another(self) -> bool:
         """Whether another entry is alive that may take what this one turns away."""
@@ -451,10 +455,10 @@
             self._unready_since = min(self._unready_since, now)
         else:
             self._unready_since = float("inf")
-        noticed = now >= self._unready_since + NOTICED_SECONDS
+        noticed = now >= self._unready_since + BALANCER_DELAY_SECONDS
         self._callers.closing = self._leaving or noticed
         refused = Refused("link_pressed", PRESSED_RETRY)
-        self._dispatcher.turned_away = refused if pressed else None
+        self._dispatcher.new_job_refusal = refused if pressed else None
 
     # Time and sending.
 
@@ -463,14 +467,14 @@
         while True:
             self._meter.sample_when_due(self._now())
             self._follow_pressure()
-            self._targetless.count(self._now(), len(self._links))
+            self._targetless.record_own_count(self._now(), len(self._links))
             self._act(self._dispatcher.tick(self._now()))
             self._flush()
-            if self._dispatcher.awaits_callers:
+            if self._dispatcher.has_new_jobs:
                 self._place_soon()
             self._close_silent()
             now = self._now()
-            due = max(due + self._times.check, now)
+            due = max(due + self._times.check_interval, now)
             await asyncio.sleep(due - now)
 
     def _close_silent(self) -> None:
@@ -498,18 +502,18 @@
 
     def _await_answers(self) -> None:
         """Look for idle targets that don't answer when the first is overdue."""
-        due = self._dispatcher.answer_due()
+        due = self._dispatcher.next_confirmation_deadline()
         if due is not None and self._answers_timer is None:
             due_in = due - self._now() + TIMER_MARGIN
             self._answers_timer = self._loop.call_later(due_in, self._check_answers)
 
     def _check_answers(self) -> None:
         """Check once all that has come is read: answers may have waited for this process."""
-        once_known(self._loop, self._check_read_answers)
+        call_after_pending_io(self._loop, self._check_read_answers)
 
     def _check_read_answers(self) -> None:
         self._answers_timer = None
-        self._act(self._dispatcher.check_answers(self._now()))
+        self._act(self._dispatcher.check_confirmations(self._now()))
 
     def _send(self, link: PeerLink, session: Session) -> None:
         now = self._now()
@@ -544,17 +548,17 @@
     def __init__(self, service: EntryService) -> None:
         self._service = service
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         pass
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
-        self._service.target_greeted(link, hello)
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
+        self._service.accept_hello(link, hello)
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
-        self._service.target_heard(link, frame)
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
+        self._service.accept_frame(link, frame)
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         self._service.refuse(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         self._service.link_closed(link)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
@@ -11,7 +11,7 @@
 import httptools
 
 from paddleshunt_node.aio.httptext import response_head
-from paddleshunt_node.aio.reading import ReadingProtocol
+from paddleshunt_node.aio.sharedbuffer import SharedBufferProtocol
 from paddleshunt_node.aio.sockets import prepare, serve
 
 BAD_REQUEST = 400
@@ -114,7 +114,7 @@
 
 
 @final
-class _Connection(ReadingProtocol):
+class _Connection(SharedBufferProtocol):
     """One connection; httptools calls the methods named `on_...`."""
 
     def __init__(self, server: HttpServer) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -14,7 +14,7 @@
 
 from paddleshunt_core.leased.linkpressure import LinkPressure, LinkSample
 
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 
 SAMPLE_SECONDS = 0.2
 """Seconds between two samples: a session bears 0.4 s of silence, and a sample costs up to 1 ms."""
@@ -38,7 +38,7 @@
     holding: int = 0
 
 
-class Metered(Protocol):
+class MeteredConnection(Protocol):
     """A connection whose sends are watched."""
 
     @property
@@ -55,21 +55,21 @@
     """Watches the connections of one process.
 
     `connections` are those that stand; `echo` is told as in `LinkSample`, and is at most
-    `usual_echo` while nothing waits.
+    `normal_echo_age` while nothing waits.
     """
 
     def __init__(
         self,
-        surroundings: Surroundings,
-        connections: Callable[[], Iterable[Metered]],
+        surroundings: ProcessContext,
+        connections: Callable[[], Iterable[MeteredConnection]],
         echo: Callable[[], float | None],
-        usual_echo: float = float("inf"),
+        normal_echo_age: float = float("inf"),
     ) -> None:
-        self.pressure = LinkPressure(usual_echo)
-        self._around = surroundings
+        self.pressure = LinkPressure(normal_echo_age)
+        self._context = surroundings
         self._connections = connections
         self._echo = echo
-        self._written: dict[Metered, int] = {}
+        self._written: dict[MeteredConnection, int] = {}
         """Bytes that were handed to each connection until the last sample."""
         self._total = 0
         self._due = 0.0
@@ -85,13 +85,13 @@
 
     def show(self) -> None:
         """Add the gauges to the metrics page."""
-        measures = self._around.measures
-        measures.gauge(
+        metrics = self._context.metrics
+        metrics.gauge(
             "paddleshunt_link_wait_seconds",
             "Time that bytes wait at the own link.",
             lambda: self.pressure.wait,
         )
-        measures.gauge(
+        metrics.gauge(
             "paddleshunt_link_level",
             "0 normal, 1 sheds what can wait, 2 takes no jobs.",
             lambda: self.pressure.level,
@@ -106,7 +106,7 @@
         """Take a sample, and log what follows from it."""
         echo = self._echo()
         held = self._held()
-        thorough = any(held.values()) or self.pressure.is_suspicious(echo)
+        thorough = any(held.values()) or self.pressure.needs_full_sample(echo)
         kernel = self._ask_kernel(held) if thorough and self._kernel_tells else _Kernel()
         largest = max(held.values(), default=0)
         sample = LinkSample(
@@ -117,13 +117,13 @@
             active=len(held),
             echo=echo,
         )
-        for log in self.pressure.sampled(now, sample):
-            self._around.log(log)
-            self._around.measures.event(log.event)
+        for log in self.pressure.add_sample(now, sample):
+            self._context.log(log)
+            self._context.metrics.event(log.event)
 
-    def _held(self) -> dict[Metered, int]:
+    def _held(self) -> dict[MeteredConnection, int]:
         """Return the bytes that asyncio holds, of the connections in use."""
-        held: dict[Metered, int] = {}
+        held: dict[MeteredConnection, int] = {}
         before, self._written = self._written, {}
         for connection in self._connections():
             transport = connection.transport
@@ -137,7 +137,7 @@
                 held[connection] = count
         return held
 
-    def _ask_kernel(self, held: dict[Metered, int]) -> "_Kernel":
+    def _ask_kernel(self, held: dict[MeteredConnection, int]) -> "_Kernel":
         """Return what the kernel holds, by some of the connections; others' turn is next.
 
         What asyncio holds bytes of is few, and not like the others: each kind stands for itself.
@@ -158,12 +158,12 @@
             round(quiet_share * sum(whole[one] > 0 for one in quiet)),
         )
 
-    def _some(self, connections: list[Metered], count: int) -> list[Metered]:
+    def _some(self, connections: list[MeteredConnection], count: int) -> list[MeteredConnection]:
         """Return so many of them, beginning elsewhere each turn."""
         first = self._turn * count % max(1, len(connections))
         return (connections[first:] + connections[:first])[:count]
 
-    def _kernel_bytes(self, connection: Metered) -> int:
+    def _kernel_bytes(self, connection: MeteredConnection) -> int:
         transport = connection.transport
         sock = transport.get_extra_info("socket") if transport else None
         if sock is None or not self._kernel_tells or sock.fileno() < 0:
@@ -174,7 +174,7 @@
             answer = fcntl.ioctl(sock.fileno(), _UNSENT, bytes(_COUNT.size))
         except OSError as problem:
             self._kernel_tells = False
-            self._around.event("kernel_bytes_unknown", problem=str(problem))
+            self._context.event("kernel_bytes_unknown", problem=str(problem))
             return 0
         count: int = _COUNT.unpack(answer)[0]
         return count
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -8,15 +8,15 @@
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.jobs import JobRequest
 from paddleshunt_core.leased.orders import (
-    Look,
-    LookAnswer,
-    RunnerAccount,
+    Poll,
+    PollAnswer,
+    RunnerStatus,
     StartAnswer,
     StartRun,
     StopRun,
 )
 from paddleshunt_core.leased.outcomes import JobOutcome
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import EntryAddress
 
 from paddleshunt_node.aio.httpserver import Request, Response
@@ -28,7 +28,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class OtherLife:
+class OtherIncarnation:
     """A runner of another id answered than the one meant."""
 
 
@@ -41,10 +41,10 @@
 class RunnerPort(Protocol):
     """The runner beside a target."""
 
-    def expect(self, life: RunnerLife | None) -> None:
+    def expect(self, life: RunnerIncarnation | None) -> None:
         """Mean another life of the runner with what follows than before; None for any."""
 
-    def rename(self, life: RunnerLife) -> None:
+    def refine_identity(self, life: RunnerIncarnation) -> None:
         """Take a fuller name of the life that is meant."""
 
     def supersede(self) -> None:
@@ -56,16 +56,16 @@
     async def stop(self, order: StopRun) -> bool:
         """Order a stop; return whether the runner confirmed it."""
 
-    async def lives(self, life: RunnerLife) -> bool | None:
+    async def is_current_incarnation(self, life: RunnerIncarnation) -> bool | None:
         """Ask whether this life of the runner is the one there; None: that isn't said."""
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
+    async def poll(self, poll: Poll) -> PollAnswer | OtherIncarnation | Superseded | None:
         """Renew the lease and look at what runs; None: no answer."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class OperatorWord:
+class OperatorUpdate:
     """What the operator has written: a newer configuration, evacuated halls; None: no news."""
 
     catalog: Catalog | None = None
@@ -75,7 +75,7 @@
 class StorePort(Protocol):
     """The platform's store, as far as an entry or a target needs it."""
 
-    async def next_word(self) -> OperatorWord:
+    async def next_update(self) -> OperatorUpdate:
         """Wait for what the operator writes, for a while; raises `StoreUnavailableError`."""
 
     async def announce(self, entry: EntryAddress, seconds: float) -> None:
@@ -109,20 +109,20 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class RunnerEnds:
+class RunnerDeregistration:
     """A runner's word that it ends now; an id alone may be of any of its lives."""
 
-    runner: RunnerLife
+    runner: RunnerIncarnation
 
 
 class RegistrationCodec(Protocol):
     """Turns the requests by which a runner registers into accounts."""
 
-    def read(self, request: Request) -> RunnerAccount | RunnerEnds | Response:
+    def read(self, request: Request) -> RunnerStatus | RunnerDeregistration | Response:
         """Return what the runner says, or the answer to a request that is none."""
 
     def acknowledge(self) -> Response:
         """Return the answer that takes note of it."""
 
-    def pass_over(self) -> Response:
+    def decline(self) -> Response:
         """Return the answer to an account that nothing follows from; it is to be said again."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
@@ -11,16 +11,16 @@
 
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
-from paddleshunt_node.aio.logline import COLLECT_SECONDS, LogLines
-from paddleshunt_node.aio.measures import Measures
+from paddleshunt_node.aio.logwriter import COLLECT_SECONDS, LogWriter
+from paddleshunt_node.aio.metrics import Metrics
 
 
 @final
 class OperatorPages:
     """Serves `/metrics` and `/dump`."""
 
-    def __init__(self, measures: Measures, dump: Callable[[], dict[str, object]]) -> None:
-        self._measures = measures
+    def __init__(self, metrics: Metrics, dump: Callable[[], dict[str, object]]) -> None:
+        self._metrics = metrics
         self._dump = dump
 
     def handle(self, exchange: Exchange) -> None:
@@ -29,19 +29,19 @@
             body = msgspec.json.encode(self._dump())
             exchange.respond(Response(200, body, "application/json"))
             return
-        exchange.respond(Response(200, self._measures.page(), "text/plain; version=0.0.4"))
+        exchange.respond(Response(200, self._metrics.page(), "text/plain; version=0.0.4"))
 
     def abandoned(self, exchange: Exchange) -> None:
         """Ignore a reader that left."""
 
 
 @final
-class Surroundings:
+class ProcessContext:
     """Tasks, log and signals of one process."""
 
-    def __init__(self, lines: LogLines, measures: Measures) -> None:
+    def __init__(self, lines: LogWriter, metrics: Metrics) -> None:
         self.lines = lines
-        self.measures = measures
+        self.metrics = metrics
         self.stopping = asyncio.Event()
         self._refusals = Refusals()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -75,8 +75,8 @@
 
     def refuse(self, refusal: Refusal) -> None:
         """Count a refused word, and write its line unless one like it was written lately."""
-        self.measures.refused(refusal.word.value)
-        for log in self._refusals.take(clock.now(), refusal):
+        self.metrics.refused(refusal.kind.value)
+        for log in self._refusals.record(clock.now(), refusal):
             self.log(log)
 
     def cancel(self) -> None:
@@ -86,7 +86,7 @@
 
     def _flush_in_time(self) -> None:
         """Write collected lines before long."""
-        if self._flushing or not self.lines.holds:
+        if self._flushing or not self.lines.has_pending:
             return
         if self._loop is None:
             self.lines.flush()
@@ -105,7 +105,7 @@
             self.stopping.set()
 
 
-async def serve_pages(pages: OperatorPages, address: str, around: Surroundings) -> None:
+async def serve_pages(pages: OperatorPages, address: str, around: ProcessContext) -> None:
     """Serve the operators' pages at host:port; without them the process still does its work."""
     try:
         await HttpServer(pages).start(address)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -8,49 +8,49 @@
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.entrychoice import EntryChoice
-from paddleshunt_core.leased.incarnations import Claim
+from paddleshunt_core.leased.incarnations import HeartbeatClass
 from paddleshunt_core.leased.linkpressure import PressureLevel
 from paddleshunt_core.leased.orders import (
-    LookAnswer,
-    RunnerAccount,
+    PollAnswer,
+    RunnerStatus,
     StartRun,
     StopRun,
     Supersede,
 )
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_core.leased.runnercontrol import Effect
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Entries, EntryAddress, EntryChanges, Frame, Hello
 from paddleshunt_core.leased.worker import Worker
 
 from paddleshunt_node.aio import clock
-from paddleshunt_node.aio.claims import Claims
 from paddleshunt_node.aio.dialer import Dialer
+from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
-from paddleshunt_node.aio.linkmeter import LinkMeter, Metered
-from paddleshunt_node.aio.peerwords import readable
+from paddleshunt_node.aio.linkmeter import LinkMeter, MeteredConnection
 from paddleshunt_node.aio.ports import (
-    OtherLife,
+    OtherIncarnation,
     RegistrationCodec,
-    RunnerEnds,
+    RunnerDeregistration,
     RunnerPort,
     StorePort,
     StoreUnavailableError,
     Superseded,
 )
-from paddleshunt_node.aio.process import OperatorPages, Surroundings, serve_pages
+from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
+from paddleshunt_node.aio.unconfirmed import UnconfirmedStatuses
 
-LOOK_PAUSE = 0.08
+POLL_RETRY_SECONDS = 0.08
 """Seconds before the next look after one that got no answer, or one that can't be read in full."""
 
 SHORT_PAUSE = 0.01
 """Seconds between two looks that don't wait."""
 
-FIRST_LONELY_SECONDS = 0.15
+FIRST_STORE_LOOKUP_SECONDS = 0.15
 """Seconds after the start by which a seed has usually answered; the store is asked otherwise."""
 
-LONELY_SECONDS = 2.0
+STORE_LOOKUP_SECONDS = 2.0
 """Seconds between two later looks whether no session is left and the store is to be asked."""
 
 END_MARGIN = 0.5
@@ -93,27 +93,27 @@
         codec: RegistrationCodec,
         runner: RunnerPort,
         store: StorePort,
-        surroundings: Surroundings,
+        surroundings: ProcessContext,
     ) -> None:
         self._config = config
         self._codec = codec
         self._runner = runner
         self._store = store
-        self._around = surroundings
+        self._context = surroundings
         self._times = lease_times(config.bounds)
         self._life = os.urandom(6).hex()
         self._worker = Worker(self._times, config.hall, config.bounds.cold_overrun)
-        self._suspensions = clock.Suspensions()
+        self._suspensions = clock.SuspensionDetector()
         self._meter = LinkMeter(
-            surroundings, self._connections, self._echo_age, self._times.usual_echo
+            surroundings, self._connections, self._echo_age, self._times.normal_echo_age
         )
         self._links: dict[str, PeerLink] = {}
         self._names: dict[str, str] = {}
         """Entries by the address at which they were met."""
         self._said: dict[PeerLink, float] = {}
-        self._claims = Claims()
+        self._claims = UnconfirmedStatuses()
         """Accounts of other lives than the known one."""
-        self._life_meant: RunnerLife | None = None
+        self._life_meant: RunnerIncarnation | None = None
         """The life that orders and looks are meant for."""
         self._changes = 0
         """How often that has become another life, or none."""
@@ -134,7 +134,7 @@
     async def run(self) -> None:
         """Serve until told to stop, then leave."""
         await self._start()
-        await self._around.stopping.wait()
+        await self._context.stopping.wait()
         await self._leave()
 
     def describe(self) -> dict[str, object]:
@@ -154,15 +154,15 @@
         self._loop = asyncio.get_running_loop()
         registration = HttpServer(_Registration(self))
         await registration.start(self._config.registration)
-        pages = OperatorPages(self._around.measures, self.describe)
-        await serve_pages(pages, self._config.metrics, self._around)
+        pages = OperatorPages(self._context.metrics, self.describe)
+        await serve_pages(pages, self._config.metrics, self._context)
         self._gauges()
         self._meter.show()
-        self._around.event("started", role="target", node=self._config.name, life=self._life)
-        self._around.spawn(self._look_for_ever())
-        self._around.spawn(self._dialer.run())
-        self._around.spawn(self._tick_for_ever())
-        self._around.spawn(self._find_entries())
+        self._context.event("started", role="target", node=self._config.name, life=self._life)
+        self._context.spawn(self._look_for_ever())
+        self._context.spawn(self._dialer.run())
+        self._context.spawn(self._tick_for_ever())
+        self._context.spawn(self._find_entries())
 
     async def _leave(self) -> None:
         began = self._now()
@@ -172,21 +172,21 @@
             await asyncio.sleep(0.02)
         self._flush(heartbeat=True)
         await asyncio.sleep(LAST_WORDS)
-        self._around.cancel()
-        self._around.event(
+        self._context.cancel()
+        self._context.event(
             "stopped", after_ms=round((self._now() - began) * 1000), runs=self._worker.runs
         )
 
-    def _connections(self) -> list[Metered]:
+    def _connections(self) -> list[MeteredConnection]:
         return list(self._links.values())
 
     def _echo_age(self) -> float | None:
         return self._worker.echo_age(self._now())
 
     def _gauges(self) -> None:
-        measures = self._around.measures
-        measures.gauge("paddleshunt_runs", "Runs at work.", lambda: self._worker.runs)
-        measures.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._links))
+        metrics = self._context.metrics
+        metrics.gauge("paddleshunt_runs", "Runs at work.", lambda: self._worker.runs)
+        metrics.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._links))
 
     def _now(self) -> float:
         now, suspended = self._suspensions.read()
@@ -202,111 +202,121 @@
         if isinstance(read, Response):
             exchange.respond(read)
             return
-        if isinstance(read, RunnerEnds):
+        if isinstance(read, RunnerDeregistration):
             self._runner_ends(self._now(), read)
         elif not self._take_account(read) and read.leaving:
             # An acknowledgement would bind: without one the runner says it again.
-            exchange.respond(self._codec.pass_over())
+            exchange.respond(self._codec.decline())
             return
         exchange.respond(self._codec.acknowledge())
 
-    def _take_account(self, account: RunnerAccount) -> bool:
+    def _take_account(self, runner_status: RunnerStatus) -> bool:
         """Follow an account, or keep it with a claim; return whether either was done."""
-        is_claim = self._worker.judge(account) is Claim.DOUBTFUL
-        if is_claim or account.runner in self._claims:
-            self._claims.keep(account)
+        is_claim = self._worker.classify(runner_status) is HeartbeatClass.UNCONFIRMED
+        if is_claim or runner_status.runner in self._claims:
+            self._claims.keep(runner_status)
         if is_claim:
-            self._around.spawn(self._confirm(account))
+            self._context.spawn(self._confirm(runner_status))
         else:
-            self._follow(account)
-        return account in (self._worker.account, self._claims.newest(account.runner))
+            self._follow(runner_status)
+        return runner_status in (
+            self._worker.runner_status,
+            self._claims.newest(runner_status.runner),
+        )
 
-    def _follow(self, account: RunnerAccount) -> None:
+    def _follow(self, runner_status: RunnerStatus) -> None:
         """Follow the runner's account of itself."""
-        is_new = self._worker.judge(account) in (Claim.NEW, Claim.DOUBTFUL)
-        if is_new or self._worker.account is None:
+        is_new = self._worker.classify(runner_status) in (
+            HeartbeatClass.NEW,
+            HeartbeatClass.UNCONFIRMED,
+        )
+        if is_new or self._worker.runner_status is None:
             self._claims.clear()
-            name = str(account.runner)
-            self._around.event("runner_found", runner=name, service=account.service)
-        self._act(self._worker.runner_spoke(self._now(), account))
+            name = str(runner_status.runner)
+            self._context.event("runner_found", runner=name, service=runner_status.service)
+        self._act(self._worker.heartbeat_received(self._now(), runner_status))
 
-    async def _confirm(self, account: RunnerAccount) -> None:
+    async def _confirm(self, runner_status: RunnerStatus) -> None:
         """Follow another life than the known one if the runner says that it is this one.
 
         Without an answer, or if it is denied, the claim stays until the known life is found to have
         ended: it may be the next one, which registers while this one drains.
         """
         changes = self._changes
-        answer = await self._runner.lives(account.runner)
+        answer = await self._runner.is_current_incarnation(runner_status.runner)
         if changes != self._changes:
             # It may be of before that change; a claim that stands has been asked about again.
             return
-        account = self._claims.newest(account.runner) or account
+        runner_status = self._claims.newest(runner_status.runner) or runner_status
         event = {True: "life_confirmed", False: "life_denied", None: "life_unanswered"}[answer]
-        self._around.event(event, runner=str(account.runner))
-        claim = self._worker.judge(account)
+        self._context.event(event, runner=str(runner_status.runner))
+        claim = self._worker.classify(runner_status)
         if answer is False:
-            self._worker.life_denied(account.runner)
-        elif claim in (Claim.NEW, Claim.CURRENT) or (answer and claim is Claim.DOUBTFUL):
-            self._follow(account)
+            self._worker.incarnation_denied(runner_status.runner)
+        elif claim in (HeartbeatClass.NEW, HeartbeatClass.CURRENT) or (
+            answer and claim is HeartbeatClass.UNCONFIRMED
+        ):
+            self._follow(runner_status)
 
     def _meet_life(self) -> None:
         """Mean the life that is followed now, if it is another one; ask again about claims."""
-        life = self._worker.life
-        if self._changes == self._worker.life_changes:
-            if life is not None and life != self._life_meant:
-                self._life_meant = life
-                self._runner.rename(life)
+        incarnation = self._worker.incarnation
+        if self._changes == self._worker.incarnation_changes:
+            if incarnation is not None and incarnation != self._life_meant:
+                self._life_meant = incarnation
+                self._runner.refine_identity(life)
             return
-        self._changes = self._worker.life_changes
-        self._life_meant = life
-        self._runner.expect(life)
-        for account in self._claims.all():
-            self._around.spawn(self._confirm(account))
-
-    def _runner_ends(self, now: float, ends: RunnerEnds) -> None:
-        self._around.event("runner_left", runner=str(ends.runner))
+        self._changes = self._worker.incarnation_changes
+        self._life_meant = incarnation
+        self._runner.expect(incarnation)
+        for runner_status in self._claims.all():
+            self._context.spawn(self._confirm(runner_status))
+
+    def _runner_ends(self, now: float, ends: RunnerDeregistration) -> None:
+        self._context.event("runner_left", runner=str(ends.runner))
         self._claims.drop(ends.runner)
-        self._act(self._worker.runner_left(now, ends.runner))
+        self._act(self._worker.runner_deregistered(now, ends.runner))
 
     async def _look_for_ever(self) -> None:
         failures = 0
         while True:
-            look = self._worker.next_look(self._now())
-            answer = await self._runner.look(look)
+            poll = self._worker.next_poll(self._now())
+            answer = await self._runner.poll(poll)
             now = self._now()
-            if isinstance(answer, LookAnswer):
+            if isinstance(answer, PollAnswer):
                 failures = 0
                 self._note_first_look()
-                self._act(self._worker.looked(now, answer))
+                self._act(self._worker.poll_answered(now, answer))
                 # The runner doesn't wait either while an end that can't be read is listed, which
                 # may be for good.
                 if answer.partial:
-                    await asyncio.sleep(LOOK_PAUSE)
-                elif look.wait == 0:
+                    await asyncio.sleep(POLL_RETRY_SECONDS)
+                elif poll.wait == 0:
                     await asyncio.sleep(SHORT_PAUSE)
                 continue
             if isinstance(answer, Superseded):
                 continue
-            self._act(self._worker.look_failed(now, other_life=isinstance(answer, OtherLife)))
+            self._act(
+                self._worker.poll_failed(now, other_life=isinstance(answer, OtherIncarnation))
+            )
             # The first failure may be one lost answer, and the lease is running: look at once.
             failures += 1
             if failures > 1:
-                await asyncio.sleep(LOOK_PAUSE)
+                await asyncio.sleep(POLL_RETRY_SECONDS)
 
     def _note_first_look(self) -> None:
         if not self._looked:
             self._looked = True
-            self._around.event("runner_held")
+            self._context.event("runner_held")
 
     async def _start_run(self, order: StartRun) -> None:
         began = self._now()
         session_left = self._worker.session_left(began, order.entry)
         answer = await self._runner.start(order, lambda: self._may_send(order))
         now = self._now()
-        self._around.measures.stage("ordered", began - order.decided)
-        self._around.measures.stage("started", now - began)
-        self._around.event(
+        self._context.metrics.stage("ordered", began - order.decided)
+        self._context.metrics.stage("started", now - began)
+        self._context.event(
             "run_ordered",
             job=str(order.run.task),
             run=order.run.number,
@@ -330,9 +340,9 @@
         for effect in effects:
             match effect:
                 case StartRun():
-                    self._around.spawn(self._start_run(effect))
+                    self._context.spawn(self._start_run(effect))
                 case StopRun():
-                    self._around.spawn(self._stop_run(effect))
+                    self._context.spawn(self._stop_run(effect))
                 case Supersede():
                     self._runner.supersede()
                 case Log():
@@ -340,14 +350,14 @@
         self._flush_soon()
 
     def _log(self, log: Log) -> None:
-        self._around.log(log)
-        self._around.measures.event(log.event)
+        self._context.log(log)
+        self._context.metrics.event(log.event)
         if log.event == "run_ended":
-            self._around.measures.ended(str(log.fields["end"]))
+            self._context.metrics.ended(str(log.fields["end"]))
 
     # Entries.
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         """Greet an entry that was dialled."""
         name = self._names.get(self._dialer.address_of(link), "")
         if not self._may_greet(name):
@@ -361,16 +371,16 @@
             Hello(config.name, self._life, False, config.hall, config.address, number, received)
         )
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Take an entry's greeting."""
         now = self._now()
         self._names[self._dialer.address_of(link)] = hello.name
         said = self._said.pop(link, now)
         if not hello.session:
-            self._act(self._worker.closed(now, hello.name))
+            self._act(self._worker.session_refused(now, hello.name))
             link.close()
             return
-        self._act(self._worker.opened(now, hello, said))
+        self._act(self._worker.greeting_answered(now, hello, said))
         session = self._worker.session(hello.name)
         if session is None or session.number != hello.session:
             link.close()
@@ -378,29 +388,29 @@
         self._links[hello.name] = link
         self._flush(heartbeat=True)
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Take a frame of an entry."""
         if self._links.get(link.peer) is not link:
             return
         now = self._now()
         for body in frame.bodies:
             if isinstance(body, Entries):
-                entries = readable(body.entries, link.peer, self._around.refuse)
-                self._choice.told(link.peer, entries)
+                entries = valid_entries(body.entries, link.peer, self._context.refuse)
+                self._choice.replace_known(link.peer, entries)
                 self._note_addresses(now, entries)
             elif isinstance(body, EntryChanges):
-                joined = readable(body.joined, link.peer, self._around.refuse)
-                self._choice.changed(link.peer, joined, body.gone)
+                joined = valid_entries(body.joined, link.peer, self._context.refuse)
+                self._choice.update_known(link.peer, joined, body.gone)
                 self._note_addresses(now, joined)
-        self._act(self._worker.heard(now, link.peer, frame))
+        self._act(self._worker.frame_received(now, link.peer, frame))
         if self._worker.session(link.peer) is None:
             link.close()
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         """Take note of a message that can't be read."""
-        self._around.refuse(refusal)
+        self._context.refuse(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         """Take the end of a connection; its session goes on for a while."""
         self._said.pop(link, None)
         if link.peer and self._links.get(link.peer) is link:
@@ -419,7 +429,7 @@
         if not self._links:
             return True
         if not name:
-            return not self._choice.knows()
+            return not self._choice.has_entries()
         return any(entry.name == name for entry in self._wanted())
 
     def _dial_failed(self, address: str) -> None:
@@ -436,17 +446,17 @@
         An idle one without a connection is no better one: its entry may have ended.
         """
         open_now = self._worker.session_names() & self._links.keys() | self._worker.held_names()
-        self._act(self._worker.retire(now, self._choice.kept(open_now)))
+        self._act(self._worker.retire(now, self._choice.sessions_to_keep(open_now)))
 
     def _may_greet(self, name: str) -> bool:
         return self._worker.session(name) is not None or self._worker.may_open(name)
 
     async def _find_entries(self) -> None:
         """Ask the store for entries when none has been met for a while."""
-        pause = FIRST_LONELY_SECONDS
+        pause = FIRST_STORE_LOOKUP_SECONDS
         while True:
             await asyncio.sleep(pause)
-            pause = LONELY_SECONDS
+            pause = STORE_LOOKUP_SECONDS
             if not self._links:
                 await self._ask_for_entries()
 
@@ -455,9 +465,9 @@
         try:
             entries = await self._store.entries()
         except StoreUnavailableError as problem:
-            self._around.event("store_unavailable", reason=str(problem))
+            self._context.event("store_unavailable", reason=str(problem))
             return
-        self._choice.told(STORE, entries)
+        self._choice.replace_known(STORE, entries)
         self._names.update({entry.address: entry.name for entry in entries})
         now = self._now()
         for entry in self._wanted():
@@ -489,7 +499,7 @@
         held = self._worker.held_names()
         fallen_silent = False
         for name, link in list(self._links.items()):
-            silent = self._worker.silence(now, name)
+            silent = self._worker.seconds_silent(now, name)
             if silent > (self._times.session if name in held else self._times.idle_session):
                 self._choice.suspect(now, name)
             if self._worker.is_silent(now, name):
@@ -497,7 +507,7 @@
                 fallen_silent = True
             elif name in held and silent > MISSED_HEARTBEATS * self._times.heartbeat:
                 # The next tick may come too late for the session to go on.
-                due_in = self._times.redial - silent + TIMER_MARGIN
+                due_in = self._times.reconnect_after - silent + TIMER_MARGIN
                 self._loop.call_later(due_in, lambda: self._close_silent(self._now()))
         if fallen_silent:
             self._worker.probe()
--- a/testing/core/leased/test_catalogspread.py
+++ b/testing/core/leased/test_catalogspread.py
@@ -6,15 +6,15 @@
 from random import Random
 
 import pytest
-from paddleshunt_core.leased.catalogspread import (
+from paddleshunt_core.leased.catalogsync import (
     ANSWER_SECONDS,
     ASK_SECONDS,
     BYTES_A_MEGABIT,
     LINK_SHARE,
     MAX_ANSWER_SECONDS,
-    AskFor,
-    CatalogSpread,
-    HandOut,
+    CatalogSync,
+    RequestCatalog,
+    SendCatalog,
 )
 
 SIZE = 262_144
@@ -31,7 +31,7 @@
 
 @dataclass
 class Entry:
-    spread: CatalogSpread
+    spread: CatalogSync
     mbps: float
     has: int = 1
     copies: int = 0
@@ -46,7 +46,7 @@
     def __init__(self, links: list[float], seed: int = 1) -> None:
         self.rng = Random(seed)
         self.entries = {
-            f"e{n}": Entry(CatalogSpread(Random(seed + n), mbps), mbps)
+            f"e{n}": Entry(CatalogSync(Random(seed + n), mbps), mbps)
             for n, mbps in enumerate(links)
         }
         self.silent: set[str] = set()
@@ -54,7 +54,7 @@
         self._events: list[tuple[float, int, str, object]] = []
         self._numbers = iter(range(10**9))
         for name, entry in self.entries.items():
-            entry.spread.adopted(1)
+            entry.spread.set_version(1)
             self.at(self.rng.uniform(0, GOSSIP), name, "gossip")
 
     def at(self, when: float, name: str, event: object) -> None:
@@ -84,14 +84,14 @@
             case ("told", str(peer), int(version)):
                 entry.spread.told(self.now, peer, version)
             case ("asked", str(peer), int(version)):
-                entry.spread.asked(peer, version)
+                entry.spread.on_request(peer, version)
 
     def _adopt(self, name: str) -> None:
         entry = self.entries[name]
         if entry.has < 2:
             entry.has = 2
             entry.adopted_at = self.now
-            entry.spread.adopted(2)
+            entry.spread.set_version(2)
             self._tell_all(name)
 
     def _tell_all(self, name: str) -> None:
@@ -105,9 +105,9 @@
             return
         for step in entry.spread.act(self.now):
             match step:
-                case AskFor(peer):
+                case RequestCatalog(peer):
                     self.at(self.now + WAY, peer, ("asked", name, entry.has))
-                case HandOut(peer):
+                case SendCatalog(peer):
                     entry.spread.handed_out(self.now, SIZE)
                     entry.sent.append(self.now)
                     begins = max(self.now, entry.link_free_at)
@@ -166,23 +166,23 @@
 
 
 def test_questions_that_get_no_answer_become_rarer() -> None:
-    spread = CatalogSpread(Random(1))
-    spread.adopted(1)
+    spread = CatalogSync(Random(1))
+    spread.set_version(1)
     asked = []
     for now in (tick / 64 for tick in range(20 * 64)):
         spread.told(now, "e1", 2)
-        asked += [now for step in spread.act(now) if isinstance(step, AskFor)]
+        asked += [now for step in spread.act(now) if isinstance(step, RequestCatalog)]
     gaps = [later - sooner for sooner, later in pairwise(asked)]
     expected = [min(MAX_ANSWER_SECONDS, ANSWER_SECONDS * 2**n) for n in range(len(gaps))]
     assert gaps == pytest.approx(expected, abs=1 / 32)
 
 
 def test_an_entry_that_got_a_copy_elsewhere_is_not_sent_another() -> None:
-    spread = CatalogSpread(Random(1))
-    spread.adopted(2)
-    spread.asked("e1", 1)
-    spread.asked("e2", 1)
-    assert spread.act(0.0) == [HandOut("e1")]
+    spread = CatalogSync(Random(1))
+    spread.set_version(2)
+    spread.on_request("e1", 1)
+    spread.on_request("e2", 1)
+    assert spread.act(0.0) == [SendCatalog("e1")]
     spread.handed_out(0.0, SIZE)
     spread.told(0.1, "e2", 2)
     assert spread.act(9.0) == []
@@ -190,26 +190,26 @@
 
 
 def test_no_copy_leaves_while_the_own_link_is_pressed() -> None:
-    spread = CatalogSpread(Random(1))
-    spread.adopted(2)
-    spread.asked("e1", 1)
-    assert spread.act(0.0, hands_out=False) == []
-    assert spread.act(0.1) == [HandOut("e1")]
+    spread = CatalogSync(Random(1))
+    spread.set_version(2)
+    spread.on_request("e1", 1)
+    assert spread.act(0.0, may_send=False) == []
+    assert spread.act(0.1) == [SendCatalog("e1")]
 
 
 def test_an_older_version_is_neither_asked_for_nor_asked_of() -> None:
-    spread = CatalogSpread(Random(1))
-    spread.adopted(2)
+    spread = CatalogSync(Random(1))
+    spread.set_version(2)
     spread.told(0.0, "e1", 1)
     assert spread.due() is None
-    spread.asked("e2", 3)
+    spread.on_request("e2", 3)
     assert spread.act(5.0) == []
 
 
 def test_an_entry_that_has_left_is_asked_no_more() -> None:
-    spread = CatalogSpread(Random(1))
-    spread.adopted(1)
+    spread = CatalogSync(Random(1))
+    spread.set_version(1)
     spread.told(0.0, "e1", 2)
-    spread.left("e1")
+    spread.peer_left("e1")
     assert spread.act(1.0) == []
     assert spread.due() is None
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -9,17 +9,17 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
-from paddleshunt_core.leased.health import SICK_SECONDS, SLOW, RunnerHealth
+from paddleshunt_core.leased.health import SICK_SECONDS, SICK_SPEED, RunnerHealth
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, new_job
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, RunningRun, StopRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus, RunningRun, StopRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import (
     Assign,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     Hello,
@@ -77,8 +77,8 @@
 ) -> None:
     asked = job()
     placement = Placement("hall", Random(1), 1.5, cold_overrun=1.5)
-    able = placement.able(asked, [record_of(name) for name in names])
-    found = placement.choose(10.0 + after, asked, asked.tasks[0], able) if able else None
+    eligible = placement.eligible(asked, [record_of(name) for name in names])
+    found = placement.choose(10.0 + after, asked, asked.tasks[0], eligible) if eligible else None
     assert (found.name if found else "") == expected
 
 
@@ -107,16 +107,16 @@
 # The target.
 
 
-def account(cold: float, runner: str = "i-1") -> RunnerAccount:
-    return RunnerAccount(RunnerLife(runner), "svc", "a", ROOM, False, None, cold=cold)
+def status(cold: float, runner: str = "i-1") -> RunnerStatus:
+    return RunnerStatus(RunnerIncarnation(runner), "svc", "a", ROOM, False, None, cold=cold)
 
 
 def worker(cold: float, overrun: float = 1.5) -> Worker:
     """Return a worker whose runner was cold for `cold` s yet at 0.9, in session with `e`."""
     made = Worker(lease_times(Bounds()), "a", overrun)
-    made.runner_spoke(0.9, account(cold))
-    made.looked(0.95, LookAnswer(0.92, [], []))
-    made.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    made.heartbeat_received(0.9, status(cold))
+    made.poll_answered(0.95, PollAnswer(0.92, [], []))
+    made.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return made
 
 
@@ -145,7 +145,7 @@
 ) -> None:
     made = worker(2.0)
     told(made, 1.0)
-    made.runner_spoke(1.4, account(cold))
+    made.heartbeat_received(1.4, status(cold))
     assert told(made, 1.4) == expected
 
 
@@ -155,20 +155,20 @@
 ) -> None:
     made = worker(2.0)
     told(made, 1.0)
-    made.runner_spoke(1.4, account(cold, "i-2"))
-    made.looked(1.45, LookAnswer(1.42, [], []))
+    made.heartbeat_received(1.4, status(cold, "i-2"))
+    made.poll_answered(1.45, PollAnswer(1.42, [], []))
     assert told(made, 1.5)[-1:] == [max(0, cold_ms - 100) for cold_ms in expected]
 
 
 def test_a_hall_taken_back_while_the_store_is_away_has_cold_runners_until_they_are_warm() -> None:
     made = worker(0.0)
     told(made, 1.0)
-    frame = Frame(1, 0, 1000, 1000, [EvacuationNews(EvacuatedHalls(20, ("a",)))])
-    made.heard(1.0, "e", frame)
+    frame = Frame(1, 0, 1000, 1000, [EvacuationUpdate(EvacuatedHalls(20, ("a",)))])
+    made.frame_received(1.0, "e", frame)
     # Heartbeats go on without the store; so does what another entry says of the hall.
-    made.runner_spoke(1.2, account(1.5))
-    back = Frame(2, 0, 1100, 1300, [EvacuationNews(EvacuatedHalls(21, ()))])
-    made.heard(1.3, "e", back)
+    made.heartbeat_received(1.2, status(1.5))
+    back = Frame(2, 0, 1100, 1300, [EvacuationUpdate(EvacuatedHalls(21, ()))])
+    made.frame_received(1.3, "e", back)
     made.prepare_frames(1.3)
     session = made.session("e")
     assert session is not None
@@ -184,24 +184,24 @@
 )
 def test_slow_ends_of_a_cold_runner_are_no_sickness(cold: float, level: Health) -> None:
     health = RunnerHealth(4.0)
-    health.suspect(0.0)
+    health.mark_sick(0.0)
     later = SICK_SECONDS + 0.1
-    health.note_cold(later, cold)
-    health.done(later + 1.0, SLOW * 0.9, later)
+    health.set_cold_remaining(later, cold)
+    health.done(later + 1.0, SICK_SPEED * 0.9, later)
     assert health.level(later + 1.0) is level
 
 
 @pytest.mark.parametrize(("cold", "slow"), [(2.0, False), (0.0, True)], ids=["cold", "warm"])
 def test_slow_progress_of_a_cold_runner_is_no_sickness(cold: float, *, slow: bool) -> None:
     health = RunnerHealth(4.0)
-    health.note_cold(1.0, cold)
+    health.set_cold_remaining(1.0, cold)
     health.progressed(1.5, 0.1, 0.5)
     assert health.is_slow(1.6) is slow
 
 
 def test_a_runner_that_is_slow_long_after_it_got_warm_is_sick() -> None:
     health = RunnerHealth(4.0)
-    health.note_cold(1.0, 2.0)
+    health.set_cold_remaining(1.0, 2.0)
     health.progressed(4.0, 0.1, 0.5)
     assert health.is_slow(4.1)
 
@@ -210,13 +210,13 @@
 def test_a_cold_runners_runs_may_stand_still_for_longer(cold: float, *, stopped: bool) -> None:
     made = worker(cold, overrun=3.0)
     assign = Assign("job", 0, "spec", NEED, 400, 4000, [(0, 1), (1, 1)])
-    made.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
+    made.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
     runs = [RunId(TaskId("job", 0, n), 1) for n in (0, 1)]
     effects: list[object] = []
     at = 1.01
     while at < 1.25:
         rows = [RunningRun(run, 5) for run in runs]
-        effects += made.looked(at + 0.001, LookAnswer(at, rows, []))
+        effects += made.poll_answered(at + 0.001, PollAnswer(at, rows, []))
         at += 0.05
     assert any(isinstance(effect, StopRun) for effect in effects) is stopped
 
--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -18,9 +18,9 @@
     run_state_machine_as_test,
 )
 from leasedfleet import Fleet
-from paddleshunt_core.leased.answers import Answers
 from paddleshunt_core.leased.bounds import Bounds, LeaseTimes
 from paddleshunt_core.leased.entrylink import EntryLink
+from paddleshunt_core.leased.livenesschecks import LivenessChecks
 from paddleshunt_core.leased.outcomes import GivenUp
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
@@ -178,7 +178,7 @@
         """Let time pass until no target may start anything, as far as entries know."""
         for _ in range(150):
             if not any(
-                target.may_begin(self.fleet.times, self.fleet.now)
+                target.may_have_started(self.fleet.times, self.fleet.now)
                 for dispatcher in self.fleet.dispatchers.values()
                 for target in dispatcher.targets()
             ):
@@ -265,7 +265,7 @@
     patch.setattr(LeaseTimes, "pending", 3600.0)
 
     def lease_left(self: EntryLink, now: float, times: LeaseTimes) -> float:
-        return self.heard + times.session - now
+        return self.last_received + times.session - now
 
     patch.setattr(EntryLink, "lease_left", lease_left)
 
@@ -290,9 +290,9 @@
 
 def forget_to_withdraw(patch: pytest.MonkeyPatch) -> None:
     """An entry places elsewhere what a target did not answer for, and doesn't tell it."""
-    withdraw = Answers._withdraw
+    withdraw = LivenessChecks._withdraw
 
-    def without_a_word(self: Answers, now: float, target: object, asked: float) -> object:
+    def without_a_word(self: LivenessChecks, now: float, target: object, asked: float) -> object:
         session = target.session  # type: ignore[attr-defined]
         send = session.send
         session.send = lambda body: 0 if isinstance(body, Stop) else send(body)
@@ -300,12 +300,12 @@
         del session.send
         return logs
 
-    patch.setattr(Answers, "_withdraw", without_a_word)
+    patch.setattr(LivenessChecks, "_withdraw", without_a_word)
 
 
 def withdraw_what_may_have_begun(patch: pytest.MonkeyPatch) -> None:
     """An entry takes any target that says nothing for one that has started nothing."""
-    patch.setattr(TargetRecord, "may_begin", lambda self, times, placed_at: False)
+    patch.setattr(TargetRecord, "may_have_started", lambda self, times, placed_at: False)
 
 
 @pytest.mark.parametrize(
--- a/testing/core/leased/test_late_reads.py
+++ b/testing/core/leased/test_late_reads.py
@@ -5,16 +5,16 @@
 from paddleshunt_core.leased.health import SICK_SECONDS
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    LookAnswer,
+    PollAnswer,
     RunEnd,
-    RunnerAccount,
+    RunnerStatus,
     RunningRun,
     StartAnswer,
     StopRun,
 )
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.wire import Assign, Frame, Health, Hello, RunId, TaskId
 from paddleshunt_core.leased.worker import Worker
@@ -26,14 +26,15 @@
 def at_work() -> Worker:
     """Return a worker on which `RUNS` are known to be at work since 1.0."""
     worker = Worker(lease_times(Bounds()))
-    worker.runner_spoke(
-        0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
+    worker.heartbeat_received(
+        0.9,
+        RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
-    worker.looked(0.95, LookAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     tasks = [(run.task.index, 1) for run in RUNS]
     assign = Assign("job", 0, "spec", Resources(1000, 10), ESTIMATE_MS, 4000, tasks)
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
     for run in RUNS:
         worker.start_answered(1.0, run, StartAnswer.STARTED)
     return worker
@@ -41,10 +42,10 @@
 
 def look(worker: Worker, sent: float, read: float, speed: float = 1.0) -> list[object]:
     """Look at runs that began at 1.0, as the runner shows them at once, and let time pass."""
-    worker.next_look(sent)
+    worker.next_poll(sent)
     percent = int(speed * (sent - 1.0) * 100_000 / ESTIMATE_MS)
-    answer = LookAnswer(sent, [RunningRun(run, percent) for run in RUNS], [])
-    effects = [*worker.looked(read, answer), *worker.tick(read)]
+    answer = PollAnswer(sent, [RunningRun(run, percent) for run in RUNS], [])
+    effects = [*worker.poll_answered(read, answer), *worker.tick(read)]
     return [effect for effect in effects if isinstance(effect, StopRun)]
 
 
@@ -78,17 +79,18 @@
     took: float, read: float, level: Health
 ) -> None:
     control = RunnerControl(lease_times(Bounds()))
-    control.runner_spoke(
-        0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
+    control.heartbeat_received(
+        0.9,
+        RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
-    control.looked(0.95, LookAnswer(0.92, [], []))
-    control.health.suspect(1.0)
+    control.poll_answered(0.95, PollAnswer(0.92, [], []))
+    control.health.mark_sick(1.0)
     began = 1.1 + SICK_SECONDS
     control.tick(began)
     run = Run(RUNS[0], "e", "spec", Resources(1000, 10), ESTIMATE_MS / 1000, began + 9.0)
     control.add(began, [run])
     control.start_answered(began, run.id, StartAnswer.STARTED)
-    control.next_look(began + took, renew=False)
+    control.next_poll(began + took, renew=False)
     done = [FinishedRun(1, run.id, RunEnd.DONE)]
-    control.looked(began + read, LookAnswer(began + took, [], done))
+    control.poll_answered(began + read, PollAnswer(began + took, [], done))
     assert control.health.level(began + read) is level
--- a/testing/core/leased/test_lengths.py
+++ b/testing/core/leased/test_lengths.py
@@ -3,32 +3,32 @@
 from random import Random
 
 import pytest
-from paddleshunt_core.leased.lengths import (
+from paddleshunt_core.leased.tasklengths import (
     FARTHEST,
     MOST_QUEUES,
-    Expectation,
-    Lengths,
-    QueueLengths,
+    JobPrediction,
+    TaskLengthModel,
+    TaskLengthModels,
 )
 
 
-def taught(ends: int, *, patience: float = 5.0, seed: int = 1) -> QueueLengths:
+def taught(ends: int, *, patience: float = 5.0, seed: int = 1) -> TaskLengthModel:
     """Return lengths of a queue whose callers wait 2 s and `patience` times the length."""
     rng = Random(seed)
-    lengths = QueueLengths()
+    lengths = TaskLengthModel()
     for _ in range(ends):
         length = rng.uniform(0.1, 0.8)
-        lengths.ended(length * rng.uniform(0.6, 1.6), 2 + patience * length, length)
+        lengths.observe(length * rng.uniform(0.6, 1.6), 2 + patience * length, length)
     return lengths
 
 
 def test_an_estimate_is_believed_until_ends_were_seen() -> None:
-    assert QueueLengths().expect(0.4, 3.0) == Expectation(0.4)
+    assert TaskLengthModel().expect(0.4, 3.0) == JobPrediction(0.4)
 
 
 def test_one_end_does_not_outweigh_the_estimate_wholly() -> None:
-    lengths = QueueLengths()
-    lengths.ended(0.4, 3.0, 0.6)
+    lengths = TaskLengthModel()
+    lengths.observe(0.4, 3.0, 0.6)
     assert 0.4 < lengths.expect(0.4, 3.0).length < 0.59
 
 
@@ -48,10 +48,10 @@
 
 
 def test_estimates_that_are_all_too_low_are_corrected() -> None:
-    lengths = QueueLengths()
+    lengths = TaskLengthModel()
     for number in range(50):
         estimate = 0.2 + 0.01 * (number % 10)
-        lengths.ended(estimate, 3.0, 1.5 * estimate)
+        lengths.observe(estimate, 3.0, 1.5 * estimate)
     assert lengths.expect(0.3, 3.0).length == pytest.approx(0.45, rel=0.1)
 
 
@@ -64,26 +64,26 @@
 
 
 def test_no_end_moves_the_expectation_farther_than_the_limit() -> None:
-    lengths = QueueLengths()
+    lengths = TaskLengthModel()
     for _ in range(300):
-        lengths.ended(0.1, 3.0, 60.0)
+        lengths.observe(0.1, 3.0, 60.0)
     assert lengths.expect(0.1, 3.0).length <= FARTHEST * 0.1
 
 
 def test_queues_are_learned_apart() -> None:
-    lengths = Lengths()
+    lengths = TaskLengthModels()
     for _ in range(50):
         lengths.of("slow").ended(0.2, 3.0, 0.6)
     assert lengths.of("slow").expect(0.2, 3.0).length > 0.5
-    assert lengths.of("other").expect(0.2, 3.0) == Expectation(0.2)
+    assert lengths.of("other").expect(0.2, 3.0) == JobPrediction(0.2)
 
 
 def test_queues_that_were_not_asked_for_longest_are_forgotten_first() -> None:
-    lengths = Lengths()
+    lengths = TaskLengthModels()
     for name in ("kept", "forgotten"):
         lengths.of(name).ended(0.2, 3.0, 0.6)
     for number in range(MOST_QUEUES - 1):
         lengths.of("kept")
         lengths.of(f"q{number}")
-    assert lengths.of("kept").expect(0.2, 3.0) != Expectation(0.2)
-    assert lengths.of("forgotten").expect(0.2, 3.0) == Expectation(0.2)
+    assert lengths.of("kept").expect(0.2, 3.0) != JobPrediction(0.2)
+    assert lengths.of("forgotten").expect(0.2, 3.0) == JobPrediction(0.2)
--- a/testing/core/leased/test_linkpressure.py
+++ b/testing/core/leased/test_linkpressure.py
@@ -45,7 +45,7 @@
         """Take a sample as given."""
         largest = largest or unsent // max(1, holding)
         sample = LinkSample(unsent, largest, self.written, holding, self.connections, echo)
-        self.logs += self.pressure.sampled(self.now, sample)
+        self.logs += self.pressure.add_sample(self.now, sample)
         self.levels.append(self.pressure.level)
 
     @property
@@ -178,8 +178,8 @@
         link.now += STEP
         link.take(0, 0, 2.0)
     assert set(link.levels) == {NORMAL}
-    assert link.pressure.is_suspicious(2.0)
-    assert not link.pressure.is_suspicious(USUAL_ECHO + 0.01)
+    assert link.pressure.needs_full_sample(2.0)
+    assert not link.pressure.needs_full_sample(USUAL_ECHO + 0.01)
 
 
 def test_without_targets_the_bytes_alone_tell() -> None:
@@ -213,16 +213,16 @@
 def test_readiness_returns_a_while_after_the_pressure_and_not_before() -> None:
     link = Link()
     link.run(1.0, 200_000)
-    assert not link.pressure.turns_away(link.now)
+    assert not link.pressure.rejects_connections(link.now)
     link.queued = link.rate
     link.run(1.0, link.rate)
-    assert link.pressure.turns_away(link.now)
+    assert link.pressure.rejects_connections(link.now)
     link.queued = 0.0
     link.run(LEAST_STAY + 2 * STEP, 100_000)
     assert link.pressure.level is NORMAL
-    assert link.pressure.turns_away(link.now)
+    assert link.pressure.rejects_connections(link.now)
     link.run(READY_PAUSE, 100_000)
-    assert not link.pressure.turns_away(link.now)
+    assert not link.pressure.rejects_connections(link.now)
 
 
 def test_shedding_alone_turns_nobody_away() -> None:
@@ -231,4 +231,4 @@
     link.queued = 0.15 * link.rate
     link.run(1.0, link.rate)
     assert link.pressure.level is SHEDDING
-    assert not link.pressure.turns_away(link.now)
+    assert not link.pressure.rejects_connections(link.now)
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -9,10 +9,10 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.entrylink import REPORT_SECONDS
 from paddleshunt_core.leased.offers import OFFER_SECONDS
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
-from paddleshunt_core.leased.resources import NOTHING, Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, RunnerReport, Want
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
+from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, ResourceRequest, RunnerReport
 from paddleshunt_core.leased.worker import Worker
 
 TIMES = lease_times(Bounds())
@@ -27,12 +27,14 @@
         self.now = 1.0
         self.worker = Worker(TIMES)
         room = Resources(6 * TASK.processor, 1000)
-        account = RunnerAccount(RunnerLife("i-1"), "svc", "hall", room, False, None)
-        self.worker.runner_spoke(0.9, account)
-        self.worker.looked(0.95, LookAnswer(0.92, [], []))
+        status = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", room, False, None)
+        self.worker.heartbeat_received(0.9, status)
+        self.worker.poll_answered(0.95, PollAnswer(0.92, [], []))
         self.numbers = dict.fromkeys(ENTRIES, 1)
         for number, entry in enumerate(ENTRIES):
-            self.worker.opened(1.0, Hello(entry, "life", True, "hall", "", number + 1, 0), 1.0)
+            self.worker.greeting_answered(
+                1.0, Hello(entry, "life", True, "hall", "", number + 1, 0), 1.0
+            )
         self.shown: dict[str, Resources] = {}
         if busy:
             runs = [(index, 1) for index in range(busy)]
@@ -41,11 +43,13 @@
 
     def hear(self, entry: str, body: Body) -> None:
         stamp = int(self.now * 1000)
-        self.worker.heard(self.now, entry, Frame(self.numbers[entry], 0, stamp, stamp, [body]))
+        self.worker.frame_received(
+            self.now, entry, Frame(self.numbers[entry], 0, stamp, stamp, [body])
+        )
         self.numbers[entry] += 1
 
     def want(self, entry: str, need: Resources, within_ms: int) -> None:
-        self.hear(entry, Want(need, within_ms))
+        self.hear(entry, ResourceRequest(need, within_ms))
 
     def tell(self) -> None:
         """Let reports leave that are due, and note what each entry is shown by its last one."""
@@ -75,8 +79,8 @@
     for within, entry in enumerate(ENTRIES, start=1):
         target.want(entry, TASK, 100 * within)
     target.tell()
-    assert target.shown["e0"] != NOTHING
-    assert [target.shown[entry] for entry in ENTRIES[1:]] == [NOTHING, NOTHING]
+    assert target.shown["e0"] != NO_RESOURCES
+    assert [target.shown[entry] for entry in ENTRIES[1:]] == [NO_RESOURCES, NO_RESOURCES]
 
 
 def test_room_that_is_enough_for_all_that_wait_is_shown_to_all() -> None:
@@ -95,8 +99,8 @@
     target.want("e2", TASK, 300)
     target.want("e0", TASK, 400)
     target.tell()
-    assert target.shown["e1"] != NOTHING
+    assert target.shown["e1"] != NO_RESOURCES
     target.passes(OFFER_SECONDS + 0.001)
     target.tell()
-    assert target.shown["e2"] != NOTHING
-    assert target.shown["e1"] == NOTHING
+    assert target.shown["e2"] != NO_RESOURCES
+    assert target.shown["e1"] == NO_RESOURCES
