--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -7,8 +7,7 @@
 from paddleshunt_core.leased.admission import expected_wait
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRequest, new_job
-from paddleshunt_core.leased.lengths import QueueLengths
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.speeds import (
     FARTHEST_FACTOR,
     HALF_LIFE,
@@ -19,7 +18,8 @@
     Speeds,
 )
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import Health, KindSpeed, RunnerReport, RunnerState, SpeedNews
+from paddleshunt_core.leased.tasklengths import TaskLengthModel
+from paddleshunt_core.leased.wire import Health, KindSpeed, RunnerReport, RunnerState, SpeedUpdate
 
 SLOWNESS = {"a": 0.7, "b": 1.7}
 RATIO = SLOWNESS["b"] / SLOWNESS["a"]
@@ -29,7 +29,7 @@
 def report(kind: str, life: str = "life-1") -> RunnerReport:
     labels = (kind, "rack") if kind else ()
     return RunnerReport(
-        "svc", life, RunnerState.READY, Health.GOOD, CAPACITY, NOTHING, labels, kind=kind
+        "svc", life, RunnerState.READY, Health.GOOD, CAPACITY, NO_RESOURCES, labels, kind=kind
     )
 
 
@@ -61,12 +61,12 @@
     for _ in range(jobs):
         where = rng.choices(targets, k=4)
         done = [(t, works(t, 0.4, rng, (odd or {}).get(t.name, 1.0))) for t in where]
-        speeds.compare(0.0, targets)
+        speeds.refresh(0.0, targets)
         speeds.compare_tasks(0.4, done)
 
 
-def known_by(kinds: dict[str, int], ends: int = 100) -> SpeedNews:
-    return SpeedNews([KindSpeed("svc", kind, slow, ends) for kind, slow in kinds.items()])
+def known_by(kinds: dict[str, int], ends: int = 100) -> SpeedUpdate:
+    return SpeedUpdate([KindSpeed("svc", kind, slow, ends) for kind, slow in kinds.items()])
 
 
 TOLD = known_by({"a": 700, "b": 1700})
@@ -82,21 +82,21 @@
     guess: Callable[[Random], float], sorted_by_length: bool
 ) -> None:
     rng = Random(2)
-    speeds, lengths = Speeds(), QueueLengths()
+    speeds, lengths = Speeds(), TaskLengthModel()
     targets = fleet("a", "a", "b", "a", "a", "b")
     seen: list[float] = []
     for number in range(1250):
         length = rng.uniform(0.2, 0.6)
         estimate = length * guess(rng)
-        expected = lengths.expect(estimate, 3.0).length
+        expected = lengths.predict(estimate, 3.0).length
         where = rng.choices(targets, k=4)
         if sorted_by_length and number > 50 and rng.random() < 0.9:
             kind = "b" if expected < 0.4 else "a"
             where = rng.choices([t for t in targets if t.report and t.report.kind == kind], k=4)
         done = [(t, works(t, length, rng)) for t in where]
-        speeds.compare(0.077 * number, targets)
+        speeds.refresh(0.077 * number, targets)
         for each, work in done:
-            lengths.ended(estimate, 3.0, work * speeds.typical("svc") / each.slowness)
+            lengths.observe(estimate, 3.0, work * speeds.typical_slowness("svc") / each.slowness)
         speeds.compare_tasks(expected, done)
         seen.append(ratio(speeds))
     assert all(each == pytest.approx(RATIO, rel=0.1) for each in seen[250:])
@@ -107,19 +107,19 @@
     widths: tuple[int, ...],
 ) -> None:
     rng = Random(6)
-    speeds, lengths = Speeds(), QueueLengths()
+    speeds, lengths = Speeds(), TaskLengthModel()
     targets = fleet(*"aaaaaaaaab")
     teach(speeds, targets, 200)
     means: list[float] = []
     for number in range(2000):
         length = rng.uniform(0.2, 0.6)
         estimate = length * rng.uniform(1 / 1.5, 1.5)
-        speeds.compare(0.02 * number, targets)
-        expected = lengths.expect(estimate, 3.0).length
+        speeds.refresh(0.02 * number, targets)
+        expected = lengths.predict(estimate, 3.0).length
         where = rng.choices(targets, k=rng.choice(widths))
         done = [(t, works(t, length, rng)) for t in where]
         for each, work in done:
-            lengths.ended(estimate, 3.0, work * speeds.typical("svc") / each.slowness)
+            lengths.observe(estimate, 3.0, work * speeds.typical_slowness("svc") / each.slowness)
         speeds.compare_tasks(expected, done)
         means.append(sum(t.deviation for t in targets) / len(targets))
     assert all(0.9 < mean < 1.1 for mean in means)
@@ -129,9 +129,9 @@
     speeds = Speeds()
     targets = fleet("a", "a", "b")
     teach(speeds, targets, 100)
-    speeds.compare(0.0, targets)
+    speeds.refresh(0.0, targets)
     usual = sum(t.kind_factor for t in targets) / 3
-    assert speeds.typical("svc") == pytest.approx(usual)
+    assert speeds.typical_slowness("svc") == pytest.approx(usual)
 
 
 def test_one_slow_runner_is_told_from_its_kind() -> None:
@@ -158,7 +158,7 @@
     targets = fleet("a", "a", "b")
     teach(speeds, targets, 100, {"t0": 2.5})
     targets[0].take_report(1.0, report("b", "life-2"))
-    speeds.reported(targets[0])
+    speeds.set_kind_factor(targets[0])
     assert targets[0].deviation == 1.0
     assert targets[0].slowness == speeds.factor("svc", "b")
 
@@ -169,7 +169,7 @@
     ours.reset()
     ours.take_report(1.0, report("a"))
     assert ours.deviation == 2.0
-    ours.faded(300.0)
+    ours.decay_deviation(300.0)
     assert ours.deviation == pytest.approx(1.0)
 
 
@@ -202,15 +202,15 @@
     targets = fleet("a", "b")
     done = [(targets[number % 2], 0.7 + number % 2) for number in range(3000)]
     speeds.compare_tasks(0.4, done)
-    assert sum(word.ends for word in speeds.all()) <= MOST_COMPARED
+    assert sum(word.ends for word in speeds.snapshot()) <= MOST_COMPARED
 
 
 def test_what_is_not_seen_for_long_is_forgotten() -> None:
     speeds = Speeds()
     targets = fleet("a", "b")
     teach(speeds, targets, 100)
-    speeds.compare(0.0, [])
-    speeds.compare(20 * HALF_LIFE, [])
+    speeds.refresh(0.0, [])
+    speeds.refresh(20 * HALF_LIFE, [])
     assert ratio(speeds) == pytest.approx(1.0, abs=0.01)
 
 
@@ -219,7 +219,7 @@
     rng = Random(7)
     only = [t for t in targets if t.report and t.report.kind == kind]
     for second in range(seconds):
-        speeds.compare(float(second), targets)
+        speeds.refresh(float(second), targets)
         for each in only:
             speeds.compare_tasks(0.4, [(t, works(t, 0.4, rng)) for t in (each, each)])
 
@@ -249,9 +249,9 @@
 def test_a_fresh_entry_takes_what_another_knows() -> None:
     speeds = Speeds()
     ours = target("b")
-    assert len(speeds.told(TOLD)) == 2
+    assert len(speeds.merge(TOLD)) == 2
     assert ratio(speeds) == pytest.approx(RATIO, rel=0.03)
-    speeds.compare(0.0, [ours, target("a", "t1")])
+    speeds.refresh(0.0, [ours, target("a", "t1")])
     assert ours.slowness == speeds.factor("svc", "b")
 
 
@@ -259,13 +259,13 @@
     speeds = Speeds()
     teach(speeds, fleet("a", "b"), 100)
     before = ratio(speeds)
-    assert speeds.told(known_by({"a": 1700, "b": 700})) == []
+    assert speeds.merge(known_by({"a": 1700, "b": 700})) == []
     assert ratio(speeds) == before
 
 
 def test_own_ends_soon_outweigh_another_entrys_nonsense() -> None:
     speeds = Speeds()
-    speeds.told(known_by({"a": 8000, "b": 125}, ends=10**9))
+    speeds.merge(known_by({"a": 8000, "b": 125}, ends=10**9))
     teach(speeds, fleet("a", "b"), 300)
     assert ratio(speeds) == pytest.approx(RATIO, rel=0.15)
 
@@ -283,16 +283,16 @@
 )
 def test_nonsense_is_not_taken(word: KindSpeed) -> None:
     speeds = Speeds()
-    assert speeds.told(SpeedNews([word])) == []
-    assert speeds.all() == []
+    assert speeds.merge(SpeedUpdate([word])) == []
+    assert speeds.snapshot() == []
 
 
 @pytest.mark.parametrize("thousandths", [1, 10**12], ids=["fast", "slow"])
 def test_no_word_goes_beyond_the_bounds(thousandths: int) -> None:
     speeds = Speeds()
-    speeds.told(known_by({"a": thousandths}, ends=10**12))
+    speeds.merge(known_by({"a": thousandths}, ends=10**12))
     assert 1 / FARTHEST_FACTOR <= speeds.factor("svc", "a") <= FARTHEST_FACTOR
-    assert speeds.all()[0].ends <= MEMORY_ENDS
+    assert speeds.snapshot()[0].ends <= MEMORY_ENDS
 
 
 def test_no_more_kinds_are_remembered_than_the_limit() -> None:
@@ -300,16 +300,16 @@
     teach(speeds, fleet("a", "b"), 50)
     before = ratio(speeds)
     for number in range(3):
-        speeds.told(known_by({f"k{number}-{n}": 700 for n in range(MOST_KINDS)}))
-    assert len(speeds.all()) == MOST_KINDS
+        speeds.merge(known_by({f"k{number}-{n}": 700 for n in range(MOST_KINDS)}))
+    assert len(speeds.snapshot()) == MOST_KINDS
     assert ratio(speeds) == before
     teach(speeds, fleet("c"), 1)
-    assert len(speeds.all()) == MOST_KINDS
+    assert len(speeds.snapshot()) == MOST_KINDS
 
 
 def test_kinds_of_which_there_are_hosts_are_learned_beside_sixty_four_that_are_nonsense() -> None:
     speeds = Speeds()
-    speeds.told(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
+    speeds.merge(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
     targets = fleet("a", "b")
     teach(speeds, targets, 100)
     assert ratio(speeds) == pytest.approx(RATIO, rel=0.1)
@@ -317,51 +317,51 @@
 
 def test_a_word_on_a_kind_of_which_there_are_hosts_takes_the_place_of_nonsense() -> None:
     speeds = Speeds()
-    speeds.told(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
-    speeds.compare(0.0, fleet("a", "b"))
-    assert len(speeds.told(TOLD)) == 2
-    assert len(speeds.all()) == MOST_KINDS
+    speeds.merge(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
+    speeds.refresh(0.0, fleet("a", "b"))
+    assert len(speeds.merge(TOLD)) == 2
+    assert len(speeds.snapshot()) == MOST_KINDS
 
 
 def test_what_was_heard_after_a_few_own_ends_is_not_told_on() -> None:
     speeds = Speeds()
     teach(speeds, fleet("a", "b"), 8)
-    assert speeds.known() is not None
-    assert len(speeds.told(TOLD)) == 2
-    assert speeds.known() is None
-    assert speeds.news() is None
+    assert speeds.export() is not None
+    assert len(speeds.merge(TOLD)) == 2
+    assert speeds.export() is None
+    assert speeds.take_changes() is None
 
 
 def test_what_was_only_heard_is_to_be_proved() -> None:
     speeds = Speeds()
     targets = fleet("a", "b")
-    speeds.told(TOLD)
-    speeds.compare(0.0, targets)
+    speeds.merge(TOLD)
+    speeds.refresh(0.0, targets)
     assert speeds.is_unproven("svc")
     teach(speeds, targets, 50)
     assert not speeds.is_unproven("svc")
-    speeds.compare(0.0, targets[:1])
+    speeds.refresh(0.0, targets[:1])
     assert not speeds.is_unproven("svc")
 
 
 def test_what_was_heard_is_not_told_on() -> None:
     speeds = Speeds()
-    speeds.told(TOLD)
-    assert speeds.known() is None
-    assert speeds.news() is None
+    speeds.merge(TOLD)
+    assert speeds.export() is None
+    assert speeds.take_changes() is None
 
 
 def test_the_others_are_told_only_what_has_changed() -> None:
     speeds = Speeds()
     targets = fleet("a", "a", "b")
     teach(speeds, targets, 1)
-    assert speeds.news() is None
+    assert speeds.take_changes() is None
     teach(speeds, targets, 300)
-    told = speeds.news()
+    told = speeds.take_changes()
     assert told is not None
     assert {word.kind for word in told.kinds} == {"a", "b"}
-    assert speeds.news() is None
-    assert speeds.known() is not None
+    assert speeds.take_changes() is None
+    assert speeds.export() is not None
 
 
 def test_the_expected_wait_goes_by_the_room_of_fast_hosts() -> None:
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -5,9 +5,9 @@
 import pytest
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
-from paddleshunt_core.leased.resources import NOTHING
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
+from paddleshunt_core.leased.resources import NO_RESOURCES
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Frame, Hello
 from paddleshunt_core.leased.worker import Worker
 from paddleshunt_node.aio.framing import PeerLink
@@ -71,7 +71,7 @@
         sessions = system.target.describe()["sessions"]
         silence.fall()
         times = lease_times(system.bounds)
-        await asyncio.sleep(times.idle_beat + times.redial + 2 * times.heartbeat)
+        await asyncio.sleep(times.idle_heartbeat + times.reconnect_after + 2 * times.heartbeat)
         job = await asyncio.wait_for(system.submit(KEY, 100), 1.0)
         assert job.status == 200
         assert system.target.describe()["sessions"] == sessions
@@ -111,14 +111,16 @@
     """They often fall silent together; heartbeats of idle sessions are far apart."""
     times = lease_times(Bounds())
     worker = Worker(times)
-    worker.runner_spoke(0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", NOTHING, False, None))
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.heartbeat_received(
+        0.9, RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", NO_RESOURCES, False, None)
+    )
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
-        worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
+        worker.greeting_answered(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
         assert worker.next_frame(1.0, entry, beat=True) is not None
-        worker.heard(1.001, entry, Frame(1, 0, 1000, 1000, []))
+        worker.frame_received(1.001, entry, Frame(1, 0, 1000, 1000, []))
     assert worker.next_frame(1.3, "b", beat=True) is None
     worker.probe()
     assert worker.next_frame(1.3, "b", beat=True) is not None
-    assert not worker.is_silent(1.3 + times.redial - 0.01, "b")
-    assert worker.is_silent(1.3 + times.redial + 0.01, "b")
+    assert not worker.is_silent(1.3 + times.reconnect_after - 0.01, "b")
+    assert worker.is_silent(1.3 + times.reconnect_after + 0.01, "b")
--- a/testing/council/test_standstill.py
+++ b/testing/council/test_standstill.py
@@ -5,9 +5,9 @@
 
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
-from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
+from paddleshunt_core.leased.orders import Poll, PollAnswer, StartAnswer, StartRun, StopRun
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
+from paddleshunt_node.aio.ports import OtherIncarnation, RunnerPort, Superseded
 
 BOUNDS = Bounds()
 TIMES = lease_times(BOUNDS)
@@ -26,11 +26,11 @@
         self.orders: list[StartRun] = []
         self.answers: list[StartAnswer] = []
 
-    def expect(self, life: RunnerLife | None) -> None:
+    def expect(self, life: RunnerIncarnation | None) -> None:
         self._port.expect(life)
 
-    def rename(self, life: RunnerLife) -> None:
-        self._port.rename(life)
+    def refine_identity(self, life: RunnerIncarnation) -> None:
+        self._port.refine_identity(life)
 
     def supersede(self) -> None:
         self._port.supersede()
@@ -46,15 +46,15 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
-        return await self._port.look(look)
+    async def poll(self, poll: Poll) -> PollAnswer | OtherIncarnation | Superseded | None:
+        return await self._port.poll(poll)
 
 
 def test_an_order_that_left_late_brings_no_lease_beyond_its_decision() -> None:
     ports: list[StillOnce] = []
 
     def still(port: RunnerPort) -> RunnerPort:
-        ports.append(StillOnce(port, TIMES.session_end + 0.1))
+        ports.append(StillOnce(port, TIMES.session_expiry + 0.1))
         return ports[0]
 
     async def scene(system: System) -> None:
--- a/testing/council/test_turned_away.py
+++ b/testing/council/test_turned_away.py
@@ -9,9 +9,9 @@
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_council.store import ENTRIES_PREFIX, Store
 from paddleshunt_node.aio import storefollower
-from paddleshunt_node.aio.logline import LogLines
-from paddleshunt_node.aio.measures import Measures
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.logwriter import LogWriter
+from paddleshunt_node.aio.metrics import Metrics
+from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_node.aio.storefollower import StoreFollower
 from paddleshunt_platform.standins.ports import free_port
 from soakstore import SoakStore
@@ -41,16 +41,16 @@
 
     catalog = EMPTY
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.catalog = catalog
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         pass
 
     def lacks_entries(self) -> bool:
         return False
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         pass
 
 
@@ -59,7 +59,7 @@
     port = free_port()
     await store.listen("e1", ("127.0.0.1", port))
     store.put("op/config", CONFIG)
-    around = Surroundings(LogLines("error"), Measures())
+    around = ProcessContext(LogWriter("error"), Metrics())
     client = Store(f"127.0.0.1:{port}", 1000)
     follower = StoreFollower(client, around, ENTRY, Owner())
     loops = (store.run(), follower.follow(), follower.announce())
@@ -89,7 +89,7 @@
     monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
     monkeypatch.setattr(storefollower, "ANNOUNCE_SECONDS", RARE_SECONDS)
-    assert storefollower.STORE_PAUSE <= MOST_PAUSE
+    assert storefollower.STORE_RETRY_SECONDS <= MOST_PAUSE
     assert asyncio.run(asyncio.wait_for(_back(SoakStore(), fault), 60)) <= BACK_CALLS
 
 
--- a/testing/council/test_withdrawn.py
+++ b/testing/council/test_withdrawn.py
@@ -10,10 +10,10 @@
 
 import pytest
 from councilsystem import System, play, until_true
-from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
-from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_node.aio.httpclient import Answer
-from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
+from paddleshunt_core.leased.orders import Poll, PollAnswer, StartAnswer, StartRun, StopRun
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
+from paddleshunt_node.aio.httpclient import HttpResponse
+from paddleshunt_node.aio.ports import OtherIncarnation, RunnerPort, Superseded
 
 KEY = "5c0e7a21d94b36f8"
 
@@ -29,11 +29,11 @@
         self.waiting = 0
         self.opened = asyncio.Event()
 
-    def expect(self, life: RunnerLife | None) -> None:
+    def expect(self, life: RunnerIncarnation | None) -> None:
         self._port.expect(life)
 
-    def rename(self, life: RunnerLife) -> None:
-        self._port.rename(life)
+    def refine_identity(self, life: RunnerIncarnation) -> None:
+        self._port.refine_identity(life)
 
     def supersede(self) -> None:
         self._port.supersede()
@@ -46,8 +46,8 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
-        return await self._port.look(look)
+    async def poll(self, poll: Poll) -> PollAnswer | OtherIncarnation | Superseded | None:
+        return await self._port.poll(poll)
 
 
 async def caller_leaves(system: System, job: "asyncio.Future[Answer]") -> None:
--- a/testing/council/test_words.py
+++ b/testing/council/test_words.py
@@ -8,10 +8,10 @@
 import msgspec
 import pytest
 from councilsystem import BEAT, System, WorkingRunner, call, play, until_true
-from paddleshunt_core.leased.resources import NOTHING
+from paddleshunt_core.leased.resources import NO_RESOURCES
 from paddleshunt_core.leased.wire import Entries, EntryAddress, Frame, Hello
 from paddleshunt_node.aio.httpclient import HttpClient
-from paddleshunt_node.aio.targetservice import LOOK_PAUSE
+from paddleshunt_node.aio.targetservice import POLL_RETRY_SECONDS
 
 KEY = "5c0e7a21d94b36f8"
 HEARTBEAT = "/paddleshunt/Instances.Heartbeat/"
@@ -33,7 +33,7 @@
 
 async def figures(system: System, process: str) -> str:
     around = system.target_around if process == "target" else system.entry_around
-    return around.measures.page().decode()
+    return around.metrics.page().decode()
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
 
         system.runner.answer = answer  # type: ignore[method-assign]
         await until_true(lambda: len(looks) == 8)
-        assert looks[-1] - looks[1] >= 6 * LOOK_PAUSE
+        assert looks[-1] - looks[1] >= 6 * POLL_RETRY_SECONDS
 
     play(scene)
 
@@ -157,7 +157,7 @@
 def has_room(system: System) -> bool:
     """Whether the entry knows of room on the runner."""
     (target,) = system.entry._dispatcher.targets()
-    return target.free != NOTHING
+    return target.free != NO_RESOURCES
 
 
 def test_an_odd_row_of_the_runner_takes_no_target_down() -> None:
--- a/testing/leasedrunner.py
+++ b/testing/leasedrunner.py
@@ -5,14 +5,14 @@
 
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    LookAnswer,
+    PollAnswer,
     RunEnd,
     RunningRun,
     StartAnswer,
     StartRun,
 )
-from paddleshunt_core.leased.resources import NOTHING, Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunId, TaskId
 
 FIRST_BORN = 1_764_000_000_000
@@ -144,9 +144,9 @@
         self.born += later_ms if self.born else 0
         self.crashed_at = None
 
-    def named(self, name: str) -> RunnerLife:
+    def named(self, name: str) -> RunnerIncarnation:
         """Return what the runner of a target says it is."""
-        return RunnerLife(f"{name}-{self.id_number}", self.born)
+        return RunnerIncarnation(f"{name}-{self.id_number}", self.born)
 
     def hears(self, token: int) -> bool:
         """Take note of a call's token; return whether the call is in force."""
@@ -157,7 +157,7 @@
 
     @property
     def used(self) -> Resources:
-        total = NOTHING
+        total = NO_RESOURCES
         for task in self.running.values():
             total += task.need
         return total
@@ -213,7 +213,7 @@
         else:
             self._end(run, RunEnd.STOPPED)
 
-    def look(self, sent: float, last_seen: int, until: float | None) -> LookAnswer:
+    def look(self, sent: float, last_seen: int, until: float | None) -> PollAnswer:
         if until is not None:
             self.lease_until = max(self.lease_until, until)
         self.finished = [row for row in self.finished if row.number > last_seen]
@@ -221,7 +221,7 @@
             RunningRun(run, min(99, int(100 * task.done / task.length)))
             for run, task in self.running.items()
         ]
-        return LookAnswer(sent, running, list(self.finished), born=self.born)
+        return PollAnswer(sent, running, list(self.finished), born=self.born)
 
     def _end(self, run: RunId, end: RunEnd) -> None:
         del self.running[run]
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.linkpressure import LinkSample, PressureLevel
 from paddleshunt_core.leased.outcomes import JobOutcome, Refused
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.targetless import GONE_SECONDS
+from paddleshunt_core.leased.targetless import UNREADY_AFTER_SECONDS
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_node.aio import entryservice, linkmeter
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
@@ -21,10 +21,10 @@
 from paddleshunt_node.aio.httpclient import HttpClient
 from paddleshunt_node.aio.httpserver import Request, Response
 from paddleshunt_node.aio.linkmeter import ASKED, LinkMeter
-from paddleshunt_node.aio.logline import LogLines
-from paddleshunt_node.aio.measures import Measures
-from paddleshunt_node.aio.ports import OperatorWord, Submission
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.logwriter import LogWriter
+from paddleshunt_node.aio.metrics import Metrics
+from paddleshunt_node.aio.ports import OperatorUpdate, Submission
+from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_platform.standins.ports import free_port
 
 BUFFER = 4096
@@ -58,10 +58,10 @@
         self.samples: list[LinkSample] = []
         self.suspicious = suspicious
 
-    def is_suspicious(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo: float | None) -> bool:
         return self.suspicious
 
-    def sampled(self, now: float, sample: LinkSample) -> list[Log]:
+    def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
         self.samples.append(sample)
         return []
 
@@ -94,7 +94,7 @@
 
 
 def meter(connections: list[Connection], echo: float | None = None) -> LinkMeter:
-    around = Surroundings(LogLines("error"), Measures())
+    around = ProcessContext(LogWriter("error"), Metrics())
     return LinkMeter(around, lambda: connections, lambda: echo)
 
 
@@ -220,7 +220,7 @@
     recorder = Recorder()
     monkeypatch.setattr(linkmeter, "LinkPressure", lambda _: recorder)
     connections = [Dead(1000 if n < dead else 0) for n in range(640)]
-    around = Surroundings(LogLines("error"), Measures())
+    around = ProcessContext(LogWriter("error"), Metrics())
     watched = LinkMeter(around, lambda: connections, lambda: None)
     watched.sample(1.0)
     (sample,) = recorder.samples
@@ -236,9 +236,9 @@
 class Store:
     """A store with one configuration."""
 
-    async def next_word(self) -> OperatorWord:
+    async def next_update(self) -> OperatorUpdate:
         await asyncio.sleep(0.05)
-        return OperatorWord(CATALOG)
+        return OperatorUpdate(CATALOG)
 
     async def announce(self, entry: EntryAddress, seconds: float) -> None:
         pass
@@ -276,13 +276,13 @@
         self.level = PressureLevel.NORMAL
         self.wait = 0.0
 
-    def is_suspicious(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo: float | None) -> bool:
         return False
 
-    def turns_away(self, now: float) -> bool:
+    def rejects_connections(self, now: float) -> bool:
         return self.level is PressureLevel.PRESSED
 
-    def sampled(self, now: float, sample: LinkSample) -> list[Log]:
+    def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
         return []
 
 
@@ -295,7 +295,7 @@
         config = EntryConfig(
             name, "hall", self.callers, ready, self.peers, metrics, seeds, Bounds()
         )
-        self.around = Surroundings(LogLines("error"), Measures())
+        self.around = ProcessContext(LogWriter("error"), Metrics())
         self.service = EntryService(config, Codec(), Store(), self.around)
         self.task = asyncio.ensure_future(self.service.run())
         self._callers = HttpClient(self.callers)
@@ -308,7 +308,7 @@
     @property
     def turns_away(self) -> bool:
         """Whether it has followed a level at which it takes no jobs."""
-        return self.service._dispatcher.turned_away is not None
+        return self.service._dispatcher.new_job_refusal is not None
 
     async def ready(self) -> int:
         return (await self._ready.call("GET", "/ready", 1.0)).status
@@ -436,7 +436,7 @@
         await asyncio.sleep(0.2)
         assert await entry.ready() == 200
         links.clear()
-        await asyncio.sleep(GONE_SECONDS + 0.3)
+        await asyncio.sleep(UNREADY_AFTER_SECONDS + 0.3)
         assert await entry.ready() == status
 
     with_entries(monkeypatch, 1, scene)
--- a/testing/node/aio/test_storefollower.py
+++ b/testing/node/aio/test_storefollower.py
@@ -6,10 +6,10 @@
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.wire import EntryAddress
-from paddleshunt_node.aio.logline import LogLines
-from paddleshunt_node.aio.measures import Measures
-from paddleshunt_node.aio.ports import OperatorWord, StoreUnavailableError
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.logwriter import LogWriter
+from paddleshunt_node.aio.metrics import Metrics
+from paddleshunt_node.aio.ports import OperatorUpdate, StoreUnavailableError
+from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_node.aio.storefollower import StoreFollower
 
 ENTRY = EntryAddress("e1", "10.0.0.1:7720")
@@ -23,9 +23,9 @@
     def __init__(self) -> None:
         self.up = True
         self.announced: list[float] = []
-        self.word = OperatorWord()
+        self.word = OperatorUpdate()
 
-    async def next_word(self) -> OperatorWord:
+    async def next_update(self) -> OperatorUpdate:
         await asyncio.sleep(0.05)
         if not self.up:
             raise StoreUnavailableError("down")
@@ -49,24 +49,24 @@
     def __init__(self) -> None:
         self.took: list[str] = []
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.catalog = catalog
         self.took.append("catalog")
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         self.took.append("evacuated")
 
     def lacks_entries(self) -> bool:
         return False
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         pass
 
 
 def test_an_address_that_may_have_lapsed_is_told_again_at_the_stores_return() -> None:
     async def scene() -> None:
         store = Store()
-        around = Surroundings(LogLines("error"), Measures())
+        around = ProcessContext(LogWriter("error"), Metrics())
         follower = StoreFollower(store, around, ENTRY, Owner())
         tasks = [
             asyncio.ensure_future(follower.follow()),
