--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import final
 
-from paddleshunt_core.leased.ranks import rank as rank
+from paddleshunt_core.leased.rendezvous import rank as rank
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import RunnerState
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import final
 
-from paddleshunt_core.leased.ranks import rank
+from paddleshunt_core.leased.rendezvous import rank
 from paddleshunt_core.leased.wire import EntryAddress
 
 SESSIONS = 8
--- a/testing/core/leased/test_ranks.py
+++ b/testing/core/leased/test_rendezvous.py
@@ -1,7 +1,7 @@
 """Places in an order of choice."""
 
 import pytest
-from paddleshunt_core.leased.ranks import rank
+from paddleshunt_core.leased.rendezvous import rank
 
 
 @pytest.mark.parametrize(
