--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import final
 
-from paddleshunt_core.leased.rendezvous import rank as rank
+from paddleshunt_core.leased.rendezvous import rendezvous_rank as rendezvous_rank
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import RunnerState
 
@@ -70,5 +70,5 @@
 
     def _rank(self, target: str) -> int:
         if target not in self._ranks:
-            self._ranks[target] = rank(self._queue, target)
+            self._ranks[target] = rendezvous_rank(self._queue, target)
         return self._ranks[target]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -12,7 +12,7 @@
 from typing import final
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.bulkhead import Bulkhead, rank
+from paddleshunt_core.leased.bulkhead import Bulkhead, rendezvous_rank
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.room import RoomNow
@@ -218,7 +218,8 @@
             target
             for target in usable
             if _has_room(job, target)
-            and min(queues, key=lambda q: rank(q, target.name), default="") == job.queue.name
+            and min(queues, key=lambda q: rendezvous_rank(q, target.name), default="")
+            == job.queue.name
         ]
 
     def _judge(self, now: float, targets: Targets) -> list[Log]:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import final
 
-from paddleshunt_core.leased.rendezvous import rank
+from paddleshunt_core.leased.rendezvous import rendezvous_rank
 from paddleshunt_core.leased.wire import EntryAddress
 
 SESSIONS = 8
@@ -119,5 +119,5 @@
 
     def _rank_of(self, name: str) -> int:
         if name not in self._ranks:
-            self._ranks[name] = rank(self._target, name)
+            self._ranks[name] = rendezvous_rank(self._target, name)
         return self._ranks[name]
--- a/testing/core/leased/test_rendezvous.py
+++ b/testing/core/leased/test_rendezvous.py
@@ -1,7 +1,7 @@
 """Places in an order of choice."""
 
 import pytest
-from paddleshunt_core.leased.rendezvous import rank
+from paddleshunt_core.leased.rendezvous import rendezvous_rank
 
 
 @pytest.mark.parametrize(
@@ -16,4 +16,4 @@
 def test_a_place_is_the_same_in_all_processes_and_releases(
     chooser: str, candidate: str, place: int
 ) -> None:
-    assert rank(chooser, candidate) == place
+    assert rendezvous_rank(chooser, candidate) == place
