--- a/testing/core/leased/test_suspicion.py
+++ b/testing/core/leased/test_crashevidence.py
@@ -1,7 +1,7 @@
 """What lost runners show of queues: second losses that are no chance, and what only looks so."""
 
 import pytest
-from paddleshunt_core.leased.suspicion import (
+from paddleshunt_core.leased.crashevidence import (
     MOST_KEPT,
     MOST_RETURNED,
     PATIENCE,
