--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -14,9 +14,9 @@
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.bulkhead import Bulkhead, rendezvous_rank
 from paddleshunt_core.leased.catalog import Queue
+from paddleshunt_core.leased.crashevidence import CrashEvidence, Evidence
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.room import RoomNow
-from paddleshunt_core.leased.crashevidence import Evidence, Suspicions
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import LossId, LossNews, RunnerReturned
 
@@ -95,7 +95,7 @@
 
     def __init__(self, again: float) -> None:
         """`again`: seconds from a loss of a runner until what was lost can be at work again."""
-        self._suspicions = Suspicions(again)
+        self._suspicions = CrashEvidence(again)
         self._services: dict[str, str] = {}
         """Service of each queue that had a job here."""
         self._confined: dict[str, _Confinement] = {}
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -98,7 +98,7 @@
 
 
 @final
-class Suspicions:
+class CrashEvidence:
     """The losses that one entry has heard of lately. Times are steady seconds."""
 
     def __init__(self, again: float) -> None:
--- a/testing/core/leased/test_crashevidence.py
+++ b/testing/core/leased/test_crashevidence.py
@@ -6,7 +6,7 @@
     MOST_RETURNED,
     PATIENCE,
     WINDOW_SECONDS,
-    Suspicions,
+    CrashEvidence,
 )
 from paddleshunt_core.leased.wire import LossId, RunnerLost, RunnerReturned, RunnerSilent, TaskId
 
@@ -27,8 +27,8 @@
     return RunnerReturned(LossId(runner, since))
 
 
-def told(*losses: tuple[float, Work]) -> Suspicions:
-    suspicions = Suspicions(AGAIN)
+def told(*losses: tuple[float, Work]) -> CrashEvidence:
+    suspicions = CrashEvidence(AGAIN)
     for number, (at, work) in enumerate(losses):
         assert suspicions.learn(at, silent(f"i-{number}", work))
     return suspicions
@@ -101,7 +101,7 @@
 
 
 def test_a_loss_counts_from_when_its_teller_learned_of_it() -> None:
-    suspicions = Suspicions(AGAIN)
+    suspicions = CrashEvidence(AGAIN)
     tasks = [TaskId("bad", 0, 0)]
     for number, ago in ((0, 3000), (1, 2100)):
         lost = RunnerLost(LossId(f"i-{number}", 1), tasks, ["short"], [10], ago)
@@ -115,7 +115,7 @@
 
 def test_a_loss_that_is_too_old_to_be_evidence_is_no_news() -> None:
     """Losses are told again for longer than they are evidence."""
-    suspicions = Suspicions(AGAIN)
+    suspicions = CrashEvidence(AGAIN)
     old = RunnerLost(LossId("i-0", 1), [TaskId("bad", 0, 0)], ["short"], [10], 15_000)
     assert not suspicions.learn(20.0, old)
     assert not suspicions
@@ -141,9 +141,9 @@
     assert {loss.runner for loss in evidence.losses} == {"i-0", "i-2"}
 
 
-def told_returns(count: int, at: float = 0.5) -> Suspicions:
+def told_returns(count: int, at: float = 0.5) -> CrashEvidence:
     """Return what is known after so many other lives were silent for a moment."""
-    suspicions = Suspicions(AGAIN)
+    suspicions = CrashEvidence(AGAIN)
     for number in range(count):
         assert suspicions.learn(at, silent(f"back-{number}", {"other": ("usual", 90)}))
         assert suspicions.learn(at, returned(f"back-{number}"))
@@ -191,7 +191,7 @@
 
 
 def test_a_life_that_was_silent_often_counts_once_among_those_that_answer_again() -> None:
-    suspicions = Suspicions(AGAIN)
+    suspicions = CrashEvidence(AGAIN)
     for since in (100, 200, 300):
         suspicions.learn(0.5, silent("back", {"other": ("usual", 90)}, since))
         suspicions.learn(0.5, returned("back", since))
@@ -230,7 +230,7 @@
 
 
 def test_an_old_word_of_a_silence_is_not_followed_however_many_lives_have_come_back() -> None:
-    suspicions = Suspicions(AGAIN)
+    suspicions = CrashEvidence(AGAIN)
     for number in range(MOST_RETURNED - 1):
         suspicions.learn(1.0, returned(f"back-{number}"))
     assert not suspicions.learn(1.1, silent("back-0", FIRST, 900))
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -5,9 +5,9 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.containment import Containment
+from paddleshunt_core.leased.crashevidence import PATIENCE
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.room import RoomNow
-from paddleshunt_core.leased.crashevidence import PATIENCE
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import (
     Health,
