--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -44,7 +44,7 @@
 MOST_RETURNED = 256
 """Lives that answered again, remembered so that an older word of silence is not followed."""
 
-PATIENCE = 2.0
+RETURN_WAIT_LEASES = 2.0
 """How many times as long as a runner's lease a silence lasts until it is evidence while most end.
 
 A queue that does crash runners then is confined so much later (1.4 s); most returns come sooner.
@@ -219,7 +219,7 @@
         back = {life for life, (_, at) in self._returned.items() if at >= now - WINDOW_SECONDS}
         out = {loss.life for loss in self._seen} - back
         mostly_back = len(back) >= len(out)
-        outlasted = now - PATIENCE * self._again
+        outlasted = now - RETURN_WAIT_LEASES * self._again
         return [
             each
             for each in self._seen.values()
--- a/testing/core/leased/test_crashevidence.py
+++ b/testing/core/leased/test_crashevidence.py
@@ -4,7 +4,7 @@
 from paddleshunt_core.leased.crashevidence import (
     MOST_KEPT,
     MOST_RETURNED,
-    PATIENCE,
+    RETURN_WAIT_LEASES,
     WINDOW_SECONDS,
     CrashEvidence,
 )
@@ -157,7 +157,7 @@
         assert suspicions.learn(at, silent(f"i-{number}", work))
         assert suspicions.ripe(at) == set()
         assert suspicions.ripens
-    late = 1.9 + PATIENCE * AGAIN
+    late = 1.9 + RETURN_WAIT_LEASES * AGAIN
     assert suspicions.ripe(late - 0.01) == {LossId("i-0", 1000)}
     assert suspicions.evidence(late - 0.01, "short", 0.0, TARGETS, ()) is None
     assert suspicions.ripe(late + 0.01) == {LossId("i-1", 1000)}
@@ -207,7 +207,9 @@
     suspicions.learn(1.4, returned("back", 100))
     suspicions.learn(1.9, silent("back", SECOND, 200))
     assert suspicions.evidence(1.9, "short", 0.0, TARGETS, ()) is None
-    assert suspicions.evidence(2.0 + PATIENCE * AGAIN, "short", 0.0, TARGETS, ()) is not None
+    assert (
+        suspicions.evidence(2.0 + RETURN_WAIT_LEASES * AGAIN, "short", 0.0, TARGETS, ()) is not None
+    )
 
 
 def test_lives_that_came_back_are_no_base_rate_for_ever() -> None:
@@ -242,6 +244,6 @@
     assert suspicions.doubtful(1.9, losses) == set()
     suspicions.learn(2.0, returned("i-0"))
     assert suspicions.doubtful(2.0, losses) == losses
-    later = 1.9 + PATIENCE * AGAIN
+    later = 1.9 + RETURN_WAIT_LEASES * AGAIN
     assert suspicions.doubtful(later, losses) == {LossId("i-0", 1000)}
     assert suspicions.doubtful(1.9 + WINDOW_SECONDS + 0.1, losses) == {LossId("i-0", 1000)}
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -5,7 +5,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.containment import Containment
-from paddleshunt_core.leased.crashevidence import PATIENCE
+from paddleshunt_core.leased.crashevidence import RETURN_WAIT_LEASES
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.room import RoomNow
 from paddleshunt_core.leased.targets import TargetRecord
@@ -136,7 +136,7 @@
     judge.silent(1.0, "r0", a=("bad", 10))
     judge.silent(1.9, "r1", a=("bad", 10))
     assert judge.containment.is_waiting
-    late = 1.9 + PATIENCE * TIMES.hold
+    late = 1.9 + RETURN_WAIT_LEASES * TIMES.hold
     assert judge.follow(late - 0.01) == []
     assert events(judge.follow(late + 0.01)) == ["queue_confined"]
 
@@ -150,7 +150,7 @@
     logs = judge.returned(2.2, "back1")
     assert events(logs) == ["queue_evidence_taken_back", "queue_released"]
     assert logs[0].fields["runners"] == "r0,r1"
-    assert events(judge.follow(1.9 + PATIENCE * TIMES.hold + 0.01)) == ["queue_confined"]
+    assert events(judge.follow(1.9 + RETURN_WAIT_LEASES * TIMES.hold + 0.01)) == ["queue_confined"]
 
 
 def test_a_silence_that_is_no_evidence_prolongs_no_confinement(judge: Judge) -> None:
