--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -32,7 +32,7 @@
     TaskRecord,
     new_job,
 )
-from paddleshunt_core.leased.lessons import Lessons
+from paddleshunt_core.leased.runtimeestimator import Lessons
 from paddleshunt_core.leased.outcomes import (
     AnswerJob,
     Completed,
