--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -32,7 +32,6 @@
     TaskRecord,
     new_job,
 )
-from paddleshunt_core.leased.runtimeestimator import Lessons
 from paddleshunt_core.leased.outcomes import (
     AnswerJob,
     Completed,
@@ -45,6 +44,7 @@
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.retries import Retries
 from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.runtimeestimator import RuntimeEstimator
 from paddleshunt_core.leased.session import Session, good_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
 from paddleshunt_core.leased.standstill import THAW_SECONDS, StandStill
@@ -117,7 +117,7 @@
         self._assigner = Assigner(self._placement, self._containment, self._speeds)
         self._jobs = JobBook()
         self._targets: dict[str, TargetRecord] = {}
-        self._lessons = Lessons(self._placement, self._speeds)
+        self._lessons = RuntimeEstimator(self._placement, self._speeds)
         self._wants = Wants()
         self._answers = Answers(times, self._jobs)
         self._evacuations = Evacuations()
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -13,7 +13,7 @@
 
 
 @final
-class Lessons:
+class RuntimeEstimator:
     """Learns from the ends that one entry sees."""
 
     def __init__(self, placement: Placement, speeds: Speeds) -> None:
