--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -117,7 +117,7 @@
         self._assigner = Assigner(self._placement, self._containment, self._speeds)
         self._jobs = JobBook()
         self._targets: dict[str, TargetRecord] = {}
-        self._lessons = RuntimeEstimator(self._placement, self._speeds)
+        self._estimator = RuntimeEstimator(self._placement, self._speeds)
         self._wants = Wants()
         self._answers = Answers(times, self._jobs)
         self._evacuations = Evacuations()
@@ -184,7 +184,7 @@
             return [*effects, self._hand_over(now, caller, held)]
         if self.turned_away is not None:
             return [*effects, self._refuse(caller, request, self.turned_away)]
-        expected = self._lessons.expect(queue, request)
+        expected = self._estimator.expect(queue, request)
         job = new_job(caller, request, queue, now, expected)
         job.place_from = now + self._caller_delay
         job.is_awaited = self._caller_delay == 0
@@ -592,9 +592,9 @@
             return []
         if end is End.DONE:
             task.phase = TaskPhase.DONE
-            self._lessons.ended(now, job, task, target)
+            self._estimator.ended(now, job, task, target)
             if all(other.phase is TaskPhase.DONE for other in job.tasks):
-                self._lessons.compare_tasks(job, self._targets)
+                self._estimator.compare_tasks(job, self._targets)
                 return [self._answer(now, job, Completed())]
             return []
         task.phase = TaskPhase.WAITING
