--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.admission import expected_wait
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRequest, new_job
-from paddleshunt_core.leased.lengths import QueueLengths
+from paddleshunt_core.leased.tasklengths import QueueLengths
 from paddleshunt_core.leased.resources import NOTHING, Resources
 from paddleshunt_core.leased.speeds import (
     FARTHEST_FACTOR,
--- a/testing/core/leased/test_lengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from paddleshunt_core.leased.lengths import (
+from paddleshunt_core.leased.tasklengths import (
     FARTHEST,
     MOST_QUEUES,
     Expectation,
