--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -5,9 +5,9 @@
 from typing import final
 
 from paddleshunt_core.leased.catalog import Queue
-from paddleshunt_core.leased.tasklengths import Expectation
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.tasklengths import Expectation
 from paddleshunt_core.leased.wire import RunId, TaskId
 
 STALE_STEP = 16
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -5,10 +5,10 @@
 
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, TaskRecord
-from paddleshunt_core.leased.tasklengths import Expectation, Lengths
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.speeds import Speeds, work_of
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.tasklengths import Expectation, Lengths
 from paddleshunt_core.leased.wire import Health
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -48,7 +48,7 @@
 
 
 @final
-class QueueLengths:
+class TaskLengthModel:
     """Least squares over the ends of one queue, each weighted by its estimate's inverse square."""
 
     def __init__(self) -> None:
@@ -94,11 +94,11 @@
     """The lengths of all queues, by name; what was not asked for longest is forgotten first."""
 
     def __init__(self) -> None:
-        self._queues: dict[str, QueueLengths] = {}
+        self._queues: dict[str, TaskLengthModel] = {}
 
-    def of(self, queue: str) -> QueueLengths:
+    def of(self, queue: str) -> TaskLengthModel:
         """Return what is known of a queue."""
-        lengths = self._queues.pop(queue, None) or QueueLengths()
+        lengths = self._queues.pop(queue, None) or TaskLengthModel()
         self._queues[queue] = lengths
         if len(self._queues) > MOST_QUEUES:
             del self._queues[next(iter(self._queues))]
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -7,7 +7,6 @@
 from paddleshunt_core.leased.admission import expected_wait
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRequest, new_job
-from paddleshunt_core.leased.tasklengths import QueueLengths
 from paddleshunt_core.leased.resources import NOTHING, Resources
 from paddleshunt_core.leased.speeds import (
     FARTHEST_FACTOR,
@@ -19,6 +18,7 @@
     Speeds,
 )
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.tasklengths import TaskLengthModel
 from paddleshunt_core.leased.wire import Health, KindSpeed, RunnerReport, RunnerState, SpeedNews
 
 SLOWNESS = {"a": 0.7, "b": 1.7}
@@ -82,7 +82,7 @@
     guess: Callable[[Random], float], sorted_by_length: bool
 ) -> None:
     rng = Random(2)
-    speeds, lengths = Speeds(), QueueLengths()
+    speeds, lengths = Speeds(), TaskLengthModel()
     targets = fleet("a", "a", "b", "a", "a", "b")
     seen: list[float] = []
     for number in range(1250):
@@ -107,7 +107,7 @@
     widths: tuple[int, ...],
 ) -> None:
     rng = Random(6)
-    speeds, lengths = Speeds(), QueueLengths()
+    speeds, lengths = Speeds(), TaskLengthModel()
     targets = fleet(*"aaaaaaaaab")
     teach(speeds, targets, 200)
     means: list[float] = []
--- a/testing/core/leased/test_tasklengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -8,14 +8,14 @@
     MOST_QUEUES,
     Expectation,
     Lengths,
-    QueueLengths,
+    TaskLengthModel,
 )
 
 
-def taught(ends: int, *, patience: float = 5.0, seed: int = 1) -> QueueLengths:
+def taught(ends: int, *, patience: float = 5.0, seed: int = 1) -> TaskLengthModel:
     """Return lengths of a queue whose callers wait 2 s and `patience` times the length."""
     rng = Random(seed)
-    lengths = QueueLengths()
+    lengths = TaskLengthModel()
     for _ in range(ends):
         length = rng.uniform(0.1, 0.8)
         lengths.ended(length * rng.uniform(0.6, 1.6), 2 + patience * length, length)
@@ -23,11 +23,11 @@
 
 
 def test_an_estimate_is_believed_until_ends_were_seen() -> None:
-    assert QueueLengths().expect(0.4, 3.0) == Expectation(0.4)
+    assert TaskLengthModel().expect(0.4, 3.0) == Expectation(0.4)
 
 
 def test_one_end_does_not_outweigh_the_estimate_wholly() -> None:
-    lengths = QueueLengths()
+    lengths = TaskLengthModel()
     lengths.ended(0.4, 3.0, 0.6)
     assert 0.4 < lengths.expect(0.4, 3.0).length < 0.59
 
@@ -48,7 +48,7 @@
 
 
 def test_estimates_that_are_all_too_low_are_corrected() -> None:
-    lengths = QueueLengths()
+    lengths = TaskLengthModel()
     for number in range(50):
         estimate = 0.2 + 0.01 * (number % 10)
         lengths.ended(estimate, 3.0, 1.5 * estimate)
@@ -64,7 +64,7 @@
 
 
 def test_no_end_moves_the_expectation_farther_than_the_limit() -> None:
-    lengths = QueueLengths()
+    lengths = TaskLengthModel()
     for _ in range(300):
         lengths.ended(0.1, 3.0, 60.0)
     assert lengths.expect(0.1, 3.0).length <= FARTHEST * 0.1
