--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.speeds import Speeds, work_of
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.tasklengths import Expectation, Lengths
+from paddleshunt_core.leased.tasklengths import Expectation, TaskLengthModels
 from paddleshunt_core.leased.wire import Health
 
 
@@ -19,7 +19,7 @@
     def __init__(self, placement: Placement, speeds: Speeds) -> None:
         self._placement = placement
         self._speeds = speeds
-        self._lengths = Lengths()
+        self._lengths = TaskLengthModels()
 
     def expect(self, queue: Queue, request: JobRequest) -> Expectation:
         """Return how long a task of a job is expected to take, and how old the job seems."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -90,7 +90,7 @@
 
 
 @final
-class Lengths:
+class TaskLengthModels:
     """The lengths of all queues, by name; what was not asked for longest is forgotten first."""
 
     def __init__(self) -> None:
--- a/testing/core/leased/test_tasklengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -7,8 +7,8 @@
     FARTHEST,
     MOST_QUEUES,
     Expectation,
-    Lengths,
     TaskLengthModel,
+    TaskLengthModels,
 )
 
 
@@ -71,7 +71,7 @@
 
 
 def test_queues_are_learned_apart() -> None:
-    lengths = Lengths()
+    lengths = TaskLengthModels()
     for _ in range(50):
         lengths.of("slow").ended(0.2, 3.0, 0.6)
     assert lengths.of("slow").expect(0.2, 3.0).length > 0.5
@@ -79,7 +79,7 @@
 
 
 def test_queues_that_were_not_asked_for_longest_are_forgotten_first() -> None:
-    lengths = Lengths()
+    lengths = TaskLengthModels()
     for name in ("kept", "forgotten"):
         lengths.of(name).ended(0.2, 3.0, 0.6)
     for number in range(MOST_QUEUES - 1):
