--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.tasklengths import Expectation
+from paddleshunt_core.leased.tasklengths import JobPrediction
 from paddleshunt_core.leased.wire import RunId, TaskId
 
 STALE_STEP = 16
@@ -105,7 +105,7 @@
     queue: Queue
     arrived: float
     tasks: list[TaskRecord]
-    expected: Expectation
+    expected: JobPrediction
     is_awaited: bool = True
     """Whether its caller was still there once all that had come meanwhile was handled."""
     may_have_run: bool = False
@@ -178,8 +178,14 @@
 
 
 def new_job(
-    caller: int, request: JobRequest, queue: Queue, now: float, expected: Expectation | None = None
+    caller: int,
+    request: JobRequest,
+    queue: Queue,
+    now: float,
+    expected: JobPrediction | None = None,
 ) -> JobRecord:
     """Return the record of a job that has just come; its estimate holds if nothing is expected."""
     tasks = [TaskRecord(TaskId(request.key, 0, index)) for index in range(request.count)]
-    return JobRecord(caller, request, queue, now, tasks, expected or Expectation(request.estimate))
+    return JobRecord(
+        caller, request, queue, now, tasks, expected or JobPrediction(request.estimate)
+    )
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.speeds import Speeds, work_of
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.tasklengths import Expectation, TaskLengthModels
+from paddleshunt_core.leased.tasklengths import JobPrediction, TaskLengthModels
 from paddleshunt_core.leased.wire import Health
 
 
@@ -21,7 +21,7 @@
         self._speeds = speeds
         self._lengths = TaskLengthModels()
 
-    def expect(self, queue: Queue, request: JobRequest) -> Expectation:
+    def expect(self, queue: Queue, request: JobRequest) -> JobPrediction:
         """Return how long a task of a job is expected to take, and how old the job seems."""
         return self._lengths.of(queue.name).expect(request.estimate, request.deadline)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -40,7 +40,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Expectation:
+class JobPrediction:
     """What a job is expected to be: `length` of a task and `age` since its first try, seconds."""
 
     length: float
@@ -67,15 +67,15 @@
             self._products[i] = MEMORY * self._products[i] + row[i] * ratio
         self._stale = True
 
-    def expect(self, estimate: float, deadline: float) -> Expectation:
+    def expect(self, estimate: float, deadline: float) -> JobPrediction:
         """Return the length and age of a job with these figures."""
         offset, slope, patience = self._fitted()
         length = offset + slope * estimate + patience * deadline
         if length < OLD_RATIO * estimate and patience > LEAST_DEADLINE_SLOPE:
             usual = (estimate - offset - slope * estimate) / patience
-            return Expectation(estimate, max(0.0, usual - deadline))
+            return JobPrediction(estimate, max(0.0, usual - deadline))
         least, most = estimate / FARTHEST, estimate * FARTHEST
-        return Expectation(min(most, max(least, length)))
+        return JobPrediction(min(most, max(least, length)))
 
     def _fitted(self) -> tuple[float, float, float]:
         if self._stale:
--- a/testing/core/leased/test_tasklengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.tasklengths import (
     FARTHEST,
     MOST_QUEUES,
-    Expectation,
+    JobPrediction,
     TaskLengthModel,
     TaskLengthModels,
 )
@@ -23,7 +23,7 @@
 
 
 def test_an_estimate_is_believed_until_ends_were_seen() -> None:
-    assert TaskLengthModel().expect(0.4, 3.0) == Expectation(0.4)
+    assert TaskLengthModel().expect(0.4, 3.0) == JobPrediction(0.4)
 
 
 def test_one_end_does_not_outweigh_the_estimate_wholly() -> None:
@@ -75,7 +75,7 @@
     for _ in range(50):
         lengths.of("slow").ended(0.2, 3.0, 0.6)
     assert lengths.of("slow").expect(0.2, 3.0).length > 0.5
-    assert lengths.of("other").expect(0.2, 3.0) == Expectation(0.2)
+    assert lengths.of("other").expect(0.2, 3.0) == JobPrediction(0.2)
 
 
 def test_queues_that_were_not_asked_for_longest_are_forgotten_first() -> None:
@@ -85,5 +85,5 @@
     for number in range(MOST_QUEUES - 1):
         lengths.of("kept")
         lengths.of(f"q{number}")
-    assert lengths.of("kept").expect(0.2, 3.0) != Expectation(0.2)
-    assert lengths.of("forgotten").expect(0.2, 3.0) == Expectation(0.2)
+    assert lengths.of("kept").expect(0.2, 3.0) != JobPrediction(0.2)
+    assert lengths.of("forgotten").expect(0.2, 3.0) == JobPrediction(0.2)
