--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -5,7 +5,7 @@
 from typing import Protocol, final
 
 from paddleshunt_core.leased.catalog import Catalog
-from paddleshunt_core.leased.catalogspread import LINK_MBPS, AskFor, CatalogSpread, HandOut
+from paddleshunt_core.leased.catalogsync import LINK_MBPS, AskFor, CatalogSpread, HandOut
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.speeds import Speeds
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
-from paddleshunt_core.leased.catalogspread import LINK_MBPS
+from paddleshunt_core.leased.catalogsync import LINK_MBPS
 from paddleshunt_core.leased.dispatcher import Dispatcher, Effect
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.linkpressure import PressureLevel
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
@@ -11,7 +11,7 @@
     BoundsError,
     lease_times,
 )
-from paddleshunt_core.leased.catalogspread import LINK_MBPS
+from paddleshunt_core.leased.catalogsync import LINK_MBPS
 
 from paddleshunt_platform.settings import (
     Address,
--- a/testing/core/leased/test_catalogspread.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from paddleshunt_core.leased.catalogspread import (
+from paddleshunt_core.leased.catalogsync import (
     ANSWER_SECONDS,
     ASK_SECONDS,
     BYTES_A_MEGABIT,
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
-from paddleshunt_core.leased.catalogspread import ASK_SECONDS
+from paddleshunt_core.leased.catalogsync import ASK_SECONDS
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.resources import Resources
