--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -51,7 +51,7 @@
 
 
 @final
-class CatalogSpread:
+class CatalogSync:
     """One entry's part. Times are steady seconds; `link_mbps` is what its own link carries."""
 
     def __init__(self, rng: Random, link_mbps: float = LINK_MBPS) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -5,7 +5,7 @@
 from typing import Protocol, final
 
 from paddleshunt_core.leased.catalog import Catalog
-from paddleshunt_core.leased.catalogsync import LINK_MBPS, AskFor, CatalogSpread, HandOut
+from paddleshunt_core.leased.catalogsync import LINK_MBPS, AskFor, CatalogSync, HandOut
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.speeds import Speeds
@@ -126,7 +126,7 @@
         self._turn = 0
         self.sheds = False
         """Whether this host's link is pressed, so that what can wait is left out."""
-        self._spread = CatalogSpread(Random(), link_mbps)
+        self._spread = CatalogSync(Random(), link_mbps)
         self._askers: dict[str, PeerLink] = {}
         """By name, the connection over which an entry has asked for the configuration."""
         self._packed = PackedCatalog(0, b"")
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -13,7 +13,7 @@
     LINK_SHARE,
     MAX_ANSWER_SECONDS,
     AskFor,
-    CatalogSpread,
+    CatalogSync,
     HandOut,
 )
 
@@ -31,7 +31,7 @@
 
 @dataclass
 class Entry:
-    spread: CatalogSpread
+    spread: CatalogSync
     mbps: float
     has: int = 1
     copies: int = 0
@@ -46,7 +46,7 @@
     def __init__(self, links: list[float], seed: int = 1) -> None:
         self.rng = Random(seed)
         self.entries = {
-            f"e{n}": Entry(CatalogSpread(Random(seed + n), mbps), mbps)
+            f"e{n}": Entry(CatalogSync(Random(seed + n), mbps), mbps)
             for n, mbps in enumerate(links)
         }
         self.silent: set[str] = set()
@@ -166,7 +166,7 @@
 
 
 def test_questions_that_get_no_answer_become_rarer() -> None:
-    spread = CatalogSpread(Random(1))
+    spread = CatalogSync(Random(1))
     spread.adopted(1)
     asked = []
     for now in (tick / 64 for tick in range(20 * 64)):
@@ -178,7 +178,7 @@
 
 
 def test_an_entry_that_got_a_copy_elsewhere_is_not_sent_another() -> None:
-    spread = CatalogSpread(Random(1))
+    spread = CatalogSync(Random(1))
     spread.adopted(2)
     spread.asked("e1", 1)
     spread.asked("e2", 1)
@@ -190,7 +190,7 @@
 
 
 def test_no_copy_leaves_while_the_own_link_is_pressed() -> None:
-    spread = CatalogSpread(Random(1))
+    spread = CatalogSync(Random(1))
     spread.adopted(2)
     spread.asked("e1", 1)
     assert spread.act(0.0, hands_out=False) == []
@@ -198,7 +198,7 @@
 
 
 def test_an_older_version_is_neither_asked_for_nor_asked_of() -> None:
-    spread = CatalogSpread(Random(1))
+    spread = CatalogSync(Random(1))
     spread.adopted(2)
     spread.told(0.0, "e1", 1)
     assert spread.due() is None
@@ -207,7 +207,7 @@
 
 
 def test_an_entry_that_has_left_is_asked_no_more() -> None:
-    spread = CatalogSpread(Random(1))
+    spread = CatalogSync(Random(1))
     spread.adopted(1)
     spread.told(0.0, "e1", 2)
     spread.left("e1")
