--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -36,7 +36,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class AskFor:
+class RequestCatalog:
     """Ask this peer for its configuration."""
 
     peer: str
@@ -108,7 +108,7 @@
             times.append(self._free_at)
         return min(times, default=None)
 
-    def act(self, now: float, *, hands_out: bool = True) -> list[AskFor | HandOut]:
+    def act(self, now: float, *, hands_out: bool = True) -> list[RequestCatalog | HandOut]:
         """Return what is to be sent now; `handed_out` follows for a copy.
 
         `hands_out`: copies may be sent; they wait while the own link is pressed.
@@ -118,7 +118,7 @@
             steps.append(HandOut(self._waiting.popleft()))
         return steps
 
-    def _ask(self, now: float) -> list[AskFor | HandOut]:
+    def _ask(self, now: float) -> list[RequestCatalog | HandOut]:
         if self._ask_at is None or now < self._ask_at:
             return []
         newer = self._newer()
@@ -132,7 +132,7 @@
         self._asked.add(peer)
         self._ask_at = now + self._patience
         self._patience = min(MAX_ANSWER_SECONDS, 2 * self._patience)
-        return [AskFor(peer)]
+        return [RequestCatalog(peer)]
 
     def _newer(self) -> list[str]:
         """Return the peers that have a newer version than this entry."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -5,7 +5,7 @@
 from typing import Protocol, final
 
 from paddleshunt_core.leased.catalog import Catalog
-from paddleshunt_core.leased.catalogsync import LINK_MBPS, AskFor, CatalogSync, HandOut
+from paddleshunt_core.leased.catalogsync import LINK_MBPS, CatalogSync, HandOut, RequestCatalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.speeds import Speeds
@@ -275,7 +275,7 @@
         self._spreading = None
         for step in self._spread.act(clock.now(), hands_out=not self.sheds):
             match step:
-                case AskFor():
+                case RequestCatalog():
                     self._ask_for_catalog(step.peer)
                 case HandOut():
                     self._hand_out_catalog(step.peer)
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -12,9 +12,9 @@
     BYTES_A_MEGABIT,
     LINK_SHARE,
     MAX_ANSWER_SECONDS,
-    AskFor,
     CatalogSync,
     HandOut,
+    RequestCatalog,
 )
 
 SIZE = 262_144
@@ -105,7 +105,7 @@
             return
         for step in entry.spread.act(self.now):
             match step:
-                case AskFor(peer):
+                case RequestCatalog(peer):
                     self.at(self.now + WAY, peer, ("asked", name, entry.has))
                 case HandOut(peer):
                     entry.spread.handed_out(self.now, SIZE)
@@ -171,7 +171,7 @@
     asked = []
     for now in (tick / 64 for tick in range(20 * 64)):
         spread.told(now, "e1", 2)
-        asked += [now for step in spread.act(now) if isinstance(step, AskFor)]
+        asked += [now for step in spread.act(now) if isinstance(step, RequestCatalog)]
     gaps = [later - sooner for sooner, later in pairwise(asked)]
     expected = [min(MAX_ANSWER_SECONDS, ANSWER_SECONDS * 2**n) for n in range(len(gaps))]
     assert gaps == pytest.approx(expected, abs=1 / 32)
