--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -44,7 +44,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class HandOut:
+class SendCatalog:
     """Send this peer the whole configuration in force."""
 
     peer: str
@@ -108,17 +108,17 @@
             times.append(self._free_at)
         return min(times, default=None)
 
-    def act(self, now: float, *, hands_out: bool = True) -> list[RequestCatalog | HandOut]:
+    def act(self, now: float, *, hands_out: bool = True) -> list[RequestCatalog | SendCatalog]:
         """Return what is to be sent now; `handed_out` follows for a copy.
 
         `hands_out`: copies may be sent; they wait while the own link is pressed.
         """
         steps = self._ask(now)
         if hands_out and self._waiting and now >= self._free_at:
-            steps.append(HandOut(self._waiting.popleft()))
+            steps.append(SendCatalog(self._waiting.popleft()))
         return steps
 
-    def _ask(self, now: float) -> list[RequestCatalog | HandOut]:
+    def _ask(self, now: float) -> list[RequestCatalog | SendCatalog]:
         if self._ask_at is None or now < self._ask_at:
             return []
         newer = self._newer()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -5,7 +5,7 @@
 from typing import Protocol, final
 
 from paddleshunt_core.leased.catalog import Catalog
-from paddleshunt_core.leased.catalogsync import LINK_MBPS, CatalogSync, HandOut, RequestCatalog
+from paddleshunt_core.leased.catalogsync import LINK_MBPS, CatalogSync, RequestCatalog, SendCatalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.speeds import Speeds
@@ -277,7 +277,7 @@
             match step:
                 case RequestCatalog():
                     self._ask_for_catalog(step.peer)
-                case HandOut():
+                case SendCatalog():
                     self._hand_out_catalog(step.peer)
         self._spread_when_due()
 
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -13,8 +13,8 @@
     LINK_SHARE,
     MAX_ANSWER_SECONDS,
     CatalogSync,
-    HandOut,
     RequestCatalog,
+    SendCatalog,
 )
 
 SIZE = 262_144
@@ -107,7 +107,7 @@
             match step:
                 case RequestCatalog(peer):
                     self.at(self.now + WAY, peer, ("asked", name, entry.has))
-                case HandOut(peer):
+                case SendCatalog(peer):
                     entry.spread.handed_out(self.now, SIZE)
                     entry.sent.append(self.now)
                     begins = max(self.now, entry.link_free_at)
@@ -182,7 +182,7 @@
     spread.adopted(2)
     spread.asked("e1", 1)
     spread.asked("e2", 1)
-    assert spread.act(0.0) == [HandOut("e1")]
+    assert spread.act(0.0) == [SendCatalog("e1")]
     spread.handed_out(0.0, SIZE)
     spread.told(0.1, "e2", 2)
     assert spread.act(9.0) == []
@@ -194,7 +194,7 @@
     spread.adopted(2)
     spread.asked("e1", 1)
     assert spread.act(0.0, hands_out=False) == []
-    assert spread.act(0.1) == [HandOut("e1")]
+    assert spread.act(0.1) == [SendCatalog("e1")]
 
 
 def test_an_older_version_is_neither_asked_for_nor_asked_of() -> None:
