--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -108,13 +108,13 @@
             times.append(self._free_at)
         return min(times, default=None)
 
-    def act(self, now: float, *, hands_out: bool = True) -> list[RequestCatalog | SendCatalog]:
+    def act(self, now: float, *, may_send: bool = True) -> list[RequestCatalog | SendCatalog]:
         """Return what is to be sent now; `handed_out` follows for a copy.
 
-        `hands_out`: copies may be sent; they wait while the own link is pressed.
+        `may_send`: copies may be sent; they wait while the own link is pressed.
         """
         steps = self._ask(now)
-        if hands_out and self._waiting and now >= self._free_at:
+        if may_send and self._waiting and now >= self._free_at:
             steps.append(SendCatalog(self._waiting.popleft()))
         return steps
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -273,7 +273,7 @@
     def _spread_catalog(self) -> None:
         """Ask for a configuration, or hand a copy out, if it is time."""
         self._spreading = None
-        for step in self._spread.act(clock.now(), hands_out=not self.sheds):
+        for step in self._spread.act(clock.now(), may_send=not self.sheds):
             match step:
                 case RequestCatalog():
                     self._ask_for_catalog(step.peer)
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -193,7 +193,7 @@
     spread = CatalogSync(Random(1))
     spread.adopted(2)
     spread.asked("e1", 1)
-    assert spread.act(0.0, hands_out=False) == []
+    assert spread.act(0.0, may_send=False) == []
     assert spread.act(0.1) == [SendCatalog("e1")]
 
 
