--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
@@ -10,7 +10,7 @@
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.outcomes import Refused
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.targets import TargetRecord
 
 NO_TARGET_WAIT = 0.1
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.containment import Containment
 from paddleshunt_core.leased.jobs import JobRecord, TaskPhase, TaskRecord
 from paddleshunt_core.leased.placement import Placement
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import Assign
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -16,7 +16,7 @@
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.crashevidence import CrashEvidence, Evidence
 from paddleshunt_core.leased.jobs import JobRecord
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import LossId, LossNews, RunnerReturned
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -43,7 +43,7 @@
 )
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.retries import Retries
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.runtimeestimator import RuntimeEstimator
 from paddleshunt_core.leased.session import Session, good_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -13,7 +13,7 @@
 
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, HALL_PREFERENCE
 from paddleshunt_core.leased.jobs import OVERHEAD_SECONDS, JobRecord, TaskPhase, TaskRecord
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.targets import TargetRecord
 
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, TaskPhase, new_job
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import Health, RunnerReport, RunnerState
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.containment import Containment
 from paddleshunt_core.leased.crashevidence import RETURN_WAIT_LEASES
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import (
     Health,
--- a/testing/core/leased/test_room.py
+++ b/testing/core/leased/test_targetsnapshot.py
@@ -3,7 +3,7 @@
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.room import RoomNow
+from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import Health, RunId, RunnerReport, RunnerState, TaskId
