--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
@@ -10,8 +10,8 @@
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.outcomes import Refused
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 
 NO_TARGET_WAIT = 0.1
 """Seconds a job is expected to wait for a target when none is known."""
@@ -64,7 +64,7 @@
     return ahead / max(1, capacity)
 
 
-def room_note(now: float, job: JobRecord, wait: float, room: RoomNow) -> Log:
+def room_note(now: float, job: JobRecord, wait: float, room: TargetSnapshot) -> Log:
     """Return the line that says on what knowledge of room a job is refused."""
     usable = room.usable(job.queue.service)
     fields: dict[str, str | int | float] = {
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -7,9 +7,9 @@
 from paddleshunt_core.leased.containment import Containment
 from paddleshunt_core.leased.jobs import JobRecord, TaskPhase, TaskRecord
 from paddleshunt_core.leased.placement import Placement
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wire import Assign
 
 
@@ -26,7 +26,7 @@
         self.assigned: list[TargetRecord] = []
         """Targets that were sent tasks by the last call of `place`."""
 
-    def place(self, now: float, jobs: Iterable[JobRecord], room: RoomNow) -> list[Log]:
+    def place(self, now: float, jobs: Iterable[JobRecord], room: TargetSnapshot) -> list[Log]:
         """Send what has room; messages lie in the targets' sessions then."""
         self.heads.clear()
         self.assigned.clear()
@@ -46,7 +46,7 @@
                 self.heads[service] = job
         return logs
 
-    def _may_place(self, now: float, job: JobRecord, room: RoomNow) -> bool:
+    def _may_place(self, now: float, job: JobRecord, room: TargetSnapshot) -> bool:
         """Whether it is worth looking for targets for a job now."""
         if not room.may_have(job.queue.service, job.request.need) or self._containment.holds(job):
             return False
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -16,8 +16,8 @@
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.crashevidence import CrashEvidence, Evidence
 from paddleshunt_core.leased.jobs import JobRecord
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wire import LossId, LossNews, RunnerReturned
 
 QUIET_SECONDS = 1.5
@@ -142,7 +142,9 @@
             logs += self._take_back(now, news.loss, targets)
         return True, logs
 
-    def follow(self, now: float, targets: Iterable[TargetRecord], room: RoomNow) -> list[Log]:
+    def follow(
+        self, now: float, targets: Iterable[TargetRecord], room: TargetSnapshot
+    ) -> list[Log]:
         """Act on the passing of time; `targets` are those in halls that are not evacuated."""
         known = list(targets)
         logs = self._judge(now, lambda: known)
@@ -197,7 +199,7 @@
             return False
         return self._has_met(job)
 
-    def refuses(self, job: JobRecord, room: RoomNow) -> float | None:
+    def refuses(self, job: JobRecord, room: TargetSnapshot) -> float | None:
         """Return after how many seconds a job is to be asked for again that has no target now."""
         confined = self._confined.get(job.queue.name)
         if confined is None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -43,12 +43,12 @@
 )
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.retries import Retries
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.runtimeestimator import RuntimeEstimator
 from paddleshunt_core.leased.session import Session, good_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
 from paddleshunt_core.leased.standstill import THAW_SECONDS, StandStill
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wants import Wants
 from paddleshunt_core.leased.wire import (
     Body,
@@ -429,7 +429,9 @@
         outcome: JobOutcome = GivenUp(refused.reason) if ran else refused
         return AnswerJob(caller, request.key, outcome, 0.0)
 
-    def _check_job(self, now: float, job: JobRecord, confined_room: RoomNow | None) -> list[Effect]:
+    def _check_job(
+        self, now: float, job: JobRecord, confined_room: TargetSnapshot | None
+    ) -> list[Effect]:
         """Give a job up if it can't be of use; `confined_room`: the room if a queue is confined."""
         if now > job.expires:
             return [self._give_up(now, job, "deadline", self._retry_after(now, job))]
@@ -631,21 +633,21 @@
 
     # Inside: placement.
 
-    def _room(self, now: float) -> RoomNow:
-        return RoomNow(now, self._open_targets(), self._times)
+    def _room(self, now: float) -> TargetSnapshot:
+        return TargetSnapshot(now, self._open_targets(), self._times)
 
     def _open_targets(self) -> list[TargetRecord]:
         """Return the targets in halls that are not evacuated."""
         return [t for t in self._targets.values() if not self._evacuations.covers(t.hall)]
 
-    def _wait(self, job: JobRecord, room: RoomNow) -> float:
+    def _wait(self, job: JobRecord, room: TargetSnapshot) -> float:
         rivals = self._containment.rivals(job, self._jobs.all())
         return expected_wait(job, self._usable(job, room), rivals)
 
-    def _usable(self, job: JobRecord, room: RoomNow) -> list[TargetRecord]:
+    def _usable(self, job: JobRecord, room: TargetSnapshot) -> list[TargetRecord]:
         return self._containment.targets(job, room.usable(job.queue.service))
 
-    def _place(self, now: float, room: RoomNow | None = None) -> list[Effect]:
+    def _place(self, now: float, room: TargetSnapshot | None = None) -> list[Effect]:
         jobs = [job for job in self._jobs.all() if job.is_awaited]
         logs = self._assigner.place(now, jobs, room or self._room(now))
         self._answers.ask(now, self._assigner.assigned)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -13,9 +13,9 @@
 
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, HALL_PREFERENCE
 from paddleshunt_core.leased.jobs import OVERHEAD_SECONDS, JobRecord, TaskPhase, TaskRecord
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 
 LOAD_STEP = 1 / 12
 """Loads that differ by less count as equal, so that entries that know the same choose differently.
@@ -167,7 +167,7 @@
         rack = job.request.rack
         return self._remote_factor if rack and not target.has_label(rack) else 1.0
 
-    def awaits_kind(self, now: float, job: JobRecord, room: RoomNow) -> bool:
+    def awaits_kind(self, now: float, job: JobRecord, room: TargetSnapshot) -> bool:
         """Whether a job that has not begun waits for room on a kind of host that has none.
 
         It says cheaply what `choose` would find by looking at each target.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
@@ -29,7 +29,7 @@
 
 
 @final
-class RoomNow:
+class TargetSnapshot:
     """A view of all targets at one moment; it is made anew for each decision on many jobs.
 
     Room only shrinks while tasks are placed, so what is remembered of it errs towards a look
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -9,9 +9,9 @@
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, TaskPhase, new_job
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wire import Health, RunnerReport, RunnerState
 
 QUEUE = Queue("q", "host", "/q/", "svc", stretch=1.6, latency=0.06)
@@ -153,7 +153,7 @@
     for record in targets:
         record.connected, record.heard = True, 10.0 + after
         record.session = Session(1, 0)
-    room = RoomNow(10.0 + after, targets, lease_times(Bounds()))
+    room = TargetSnapshot(10.0 + after, targets, lease_times(Bounds()))
     held = Placement("hall", Random(1), 1.5).awaits_kind(10.0 + after, job(), room)
     assert held == (chosen(10.0 + after, job(), *targets) == "")
 
@@ -201,7 +201,7 @@
     for record in targets:
         record.connected, record.heard = True, 10.1
         record.session = Session(1, 0)
-    room = RoomNow(10.1, targets, lease_times(Bounds()))
+    room = TargetSnapshot(10.1, targets, lease_times(Bounds()))
     assert chosen(10.1, asked, *targets) == "slow"
     assert not Placement("hall", Random(1), 1.5).awaits_kind(10.1, asked, room)
 
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -7,8 +7,8 @@
 from paddleshunt_core.leased.containment import Containment
 from paddleshunt_core.leased.crashevidence import RETURN_WAIT_LEASES
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wire import (
     Health,
     LossId,
@@ -56,7 +56,7 @@
 
     def follow(self, at: float) -> list[Log]:
         """Let time pass."""
-        return self.containment.follow(at, self.targets, RoomNow(at, self.targets, TIMES))
+        return self.containment.follow(at, self.targets, TargetSnapshot(at, self.targets, TIMES))
 
     def confined(self) -> dict[str, object]:
         """Return the confined queues, and how many further losses each had."""
--- a/testing/core/leased/test_targetsnapshot.py
+++ b/testing/core/leased/test_targetsnapshot.py
@@ -3,9 +3,9 @@
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.targetsnapshot import RoomNow
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
+from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wire import Health, RunId, RunnerReport, RunnerState, TaskId
 
 TIMES = lease_times(Bounds())
@@ -18,8 +18,8 @@
     return record
 
 
-def room(*targets: TargetRecord, now: float = 10.0) -> RoomNow:
-    return RoomNow(now, targets, lease_times(Bounds()))
+def room(*targets: TargetRecord, now: float = 10.0) -> TargetSnapshot:
+    return TargetSnapshot(now, targets, lease_times(Bounds()))
 
 
 def test_room_is_that_of_a_services_targets() -> None:
