--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
@@ -11,7 +11,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class KindRoom:
+class KindCapacity:
     """What runners of one kind of host have room for.
 
     `least` and `capacity` are those of warm runners that are not on probation: only such a one is
@@ -42,7 +42,7 @@
         self._times = times
         self._usable: dict[str, list[TargetRecord]] = {}
         self._most: dict[str, Resources] = {}
-        self._kinds: dict[str, list[KindRoom]] = {}
+        self._kinds: dict[str, list[KindCapacity]] = {}
 
     def known(self, service: str) -> list[TargetRecord]:
         """Return the targets that have reported as ones of a service."""
@@ -62,7 +62,7 @@
             self._most[service] = _most(t.free for t in self.usable(service))
         return need.fits(self._most[service])
 
-    def kinds(self, service: str) -> list[KindRoom]:
+    def kinds(self, service: str) -> list[KindCapacity]:
         """Return what the kinds of hosts there have."""
         if service not in self._kinds:
             kinds: dict[float, list[TargetRecord]] = {}
@@ -71,9 +71,9 @@
             self._kinds[service] = [self._kind(factor, each) for factor, each in kinds.items()]
         return self._kinds[service]
 
-    def _kind(self, factor: float, targets: list[TargetRecord]) -> KindRoom:
+    def _kind(self, factor: float, targets: list[TargetRecord]) -> KindCapacity:
         sound = [t for t in targets if not t.on_probation and not t.is_cold(self._now)]
-        return KindRoom(
+        return KindCapacity(
             factor,
             min((t.slowness for t in sound), default=float("inf")),
             _most(t.free for t in targets),
