--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
@@ -56,7 +56,7 @@
             ]
         return self._usable[service]
 
-    def may_have(self, service: str, need: Resources) -> bool:
+    def may_fit(self, service: str, need: Resources) -> bool:
         """Whether a target of a service may have room for a task; cheap, and never wrongly no."""
         if service not in self._most:
             self._most[service] = _most(t.free for t in self.usable(service))
--- a/testing/core/leased/test_targetsnapshot.py
+++ b/testing/core/leased/test_targetsnapshot.py
@@ -25,9 +25,9 @@
 def test_room_is_that_of_a_services_targets() -> None:
     view = room(target("t1", Resources(500, 8000)), target("t2", SIZE, "other"))
     assert [t.name for t in view.usable("svc")] == ["t1"]
-    assert view.may_have("svc", Resources(500, 10))
-    assert not view.may_have("svc", Resources(501, 10))
-    assert view.may_have("other", Resources(501, 10))
+    assert view.may_fit("svc", Resources(500, 10))
+    assert not view.may_fit("svc", Resources(501, 10))
+    assert view.may_fit("other", Resources(501, 10))
 
 
 @pytest.mark.parametrize(
@@ -41,8 +41,8 @@
     view = room(silent, now=10.0 + silence + 0.01)
     assert [t.name for t in view.known("svc")] == ["t1"]
     assert view.usable("svc") == []
-    assert not view.may_have("svc", Resources(0, 0))
+    assert not view.may_fit("svc", Resources(0, 0))
 
 
 def test_without_targets_there_is_no_room() -> None:
-    assert not room().may_have("svc", Resources(0, 0))
+    assert not room().may_fit("svc", Resources(0, 0))
