--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import final
 
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 
 OFFER_SECONDS = 0.012
 """Seconds for which room is kept for one entry: two messages there and back, and some delay."""
@@ -45,7 +45,7 @@
 
     def is_contended(self, free: Resources) -> bool:
         """Whether several entries wait, and `free` room is not enough for a task of each."""
-        wanted = NOTHING
+        wanted = NO_RESOURCES
         for each in self._wanted.values():
             wanted += each.need
         return len(self._wanted) > 1 and not wanted.fits(free)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.bounds import LeaseTimes
 from paddleshunt_core.leased.entrylink import EntryLink
 from paddleshunt_core.leased.offers import Offers
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
 from paddleshunt_core.leased.wire import Health, RunnerReport, RunnerState
 
@@ -47,7 +47,7 @@
         for name, link in links.items():
             if link.session is None:
                 continue
-            report = self._report(now, link, free if holder in (None, name) else NOTHING)
+            report = self._report(now, link, free if holder in (None, name) else NO_RESOURCES)
             if link.report_due or _says_anew(now, report, link):
                 held = link.is_held(has_runs=self._control.table.has_entry(name))
                 pause = link.report_pause(self._times, report, plenty=plenty, held=held)
@@ -84,7 +84,7 @@
             runner=account.runner.id if account else "",
             state=control.state() if link.retired is None else RunnerState.LEAVING,
             health=control.level,
-            capacity=account.capacity if account else NOTHING,
+            capacity=account.capacity if account else NO_RESOURCES,
             free=shown,
             labels=account.labels if account else (),
             cold_ms=round(control.cold(now) * 1000),
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/resources.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/resources.py
@@ -57,4 +57,4 @@
         return max(shares, default=0.0)
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -30,7 +30,7 @@
     note_progress,
     stands_still,
 )
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runnerlease import RunnerLease
 from paddleshunt_core.leased.runnerlife import RunnerLife, as_told
 from paddleshunt_core.leased.runnerlosses import RunnerLosses
@@ -387,13 +387,13 @@
     def free(self) -> Resources:
         """Return the room on the runner."""
         if self.account is None:
-            return NOTHING
+            return NO_RESOURCES
         return self.account.capacity - self.table.used
 
     def offered(self, now: float) -> Resources:
         """Return the room that is given to entries now: none while nothing may start."""
         until = self._lease.next_end(now, self.table)
-        return self.free() if self._may_start(now, until) else NOTHING
+        return self.free() if self._may_start(now, until) else NO_RESOURCES
 
     def _order(self, now: float, run: Run, until: float) -> StartRun:
         self._lease.grant(until)
@@ -412,7 +412,7 @@
             return False
         if self.level is Health.GOOD:
             return True
-        return self.level is Health.PROBATION and self.table.used == NOTHING
+        return self.level is Health.PROBATION and self.table.used == NO_RESOURCES
 
     def _why_not_started(self) -> str:
         """Return why nothing may start here now, for the log."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 from typing import final
 
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.wire import End, RunId, TaskId
 
 
@@ -89,7 +89,7 @@
         self._runs: dict[RunId, Run] = {}
         self._tasks: Counter[TaskId] = Counter()
         self._entries: Counter[str] = Counter()
-        self.used = NOTHING
+        self.used = NO_RESOURCES
 
     def __len__(self) -> int:
         return len(self._runs)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -5,7 +5,7 @@
 from typing import final
 
 from paddleshunt_core.leased.bounds import LeaseTimes
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.wire import Frame, Health, RunId, RunnerReport, RunnerState
@@ -37,7 +37,7 @@
     reported: float = 0.0
     unseen: deque[tuple[int, Resources]] = field(default_factory=deque)
     """Needs of assignments that the last report doesn't cover, by their number."""
-    on_way: Resources = NOTHING
+    on_way: Resources = NO_RESOURCES
     """Sum of what was promised to tasks that the last report doesn't cover."""
     placed: set[RunId] = field(default_factory=set)
     held: set[RunId] = field(default_factory=set)
@@ -49,7 +49,7 @@
     """How many times as long as expected tasks take on its runner's kind of host."""
     told_want: str = ""
     """Key of the waiting job that it was told of last; empty if it has none to go by."""
-    told_need: Resources = NOTHING
+    told_need: Resources = NO_RESOURCES
     told_at: float = 0.0
     held_since: float = 0.0
     """When it was given work last while it had none of this entry."""
@@ -82,7 +82,7 @@
         self.asked = None
         self.told_want = ""
         self.unseen.clear()
-        self.on_way = NOTHING
+        self.on_way = NO_RESOURCES
 
     def reserve(self, need: Resources) -> None:
         """Count a task's need as on its way; `assigned` follows once the message has a number."""
@@ -182,7 +182,7 @@
     def free(self) -> Resources:
         """Room there, less what is on its way."""
         if self.report is None:
-            return NOTHING
+            return NO_RESOURCES
         return self.report.free - self.on_way
 
     def could_run(self, need: Resources) -> bool:
--- a/testing/core/leased/test_leases.py
+++ b/testing/core/leased/test_leases.py
@@ -12,7 +12,7 @@
     StartRun,
     StopRun,
 )
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import (
     Assign,
@@ -131,7 +131,7 @@
     worker.looked(1.1, LookAnswer(1.09, [RunningRun(foreign, 5)], []))
     say(worker, "a", 1.12, 1, assign("job"))
     sent = bodies(worker, "a", 1.2)
-    assert [body.free for body in sent if isinstance(body, RunnerReport)] == [NOTHING]
+    assert [body.free for body in sent if isinstance(body, RunnerReport)] == [NO_RESOURCES]
 
 
 def test_a_task_with_a_run_here_gets_no_second_one(worker: Worker) -> None:
--- a/testing/core/leased/test_progress.py
+++ b/testing/core/leased/test_progress.py
@@ -12,13 +12,13 @@
     note_progress,
     stands_still,
 )
-from paddleshunt_core.leased.resources import NOTHING
+from paddleshunt_core.leased.resources import NO_RESOURCES
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.wire import RunId, TaskId
 
 
 def run_of(estimate: float) -> Run:
-    run = Run(RunId(TaskId("job", 0, 0), 1), "e", "spec", NOTHING, estimate, 99.0)
+    run = Run(RunId(TaskId("job", 0, 0), 1), "e", "spec", NO_RESOURCES, estimate, 99.0)
     run.moved = run.seen = 1.0
     return run
 
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -10,7 +10,7 @@
 from paddleshunt_core.leased.entrylink import REPORT_SECONDS
 from paddleshunt_core.leased.offers import OFFER_SECONDS
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, RunnerReport, Want
 from paddleshunt_core.leased.worker import Worker
@@ -75,8 +75,8 @@
     for within, entry in enumerate(ENTRIES, start=1):
         target.want(entry, TASK, 100 * within)
     target.tell()
-    assert target.shown["e0"] != NOTHING
-    assert [target.shown[entry] for entry in ENTRIES[1:]] == [NOTHING, NOTHING]
+    assert target.shown["e0"] != NO_RESOURCES
+    assert [target.shown[entry] for entry in ENTRIES[1:]] == [NO_RESOURCES, NO_RESOURCES]
 
 
 def test_room_that_is_enough_for_all_that_wait_is_shown_to_all() -> None:
@@ -95,8 +95,8 @@
     target.want("e2", TASK, 300)
     target.want("e0", TASK, 400)
     target.tell()
-    assert target.shown["e1"] != NOTHING
+    assert target.shown["e1"] != NO_RESOURCES
     target.passes(OFFER_SECONDS + 0.001)
     target.tell()
-    assert target.shown["e2"] != NOTHING
-    assert target.shown["e1"] == NOTHING
+    assert target.shown["e2"] != NO_RESOURCES
+    assert target.shown["e1"] == NO_RESOURCES
--- a/testing/core/leased/test_resources.py
+++ b/testing/core/leased/test_resources.py
@@ -1,7 +1,7 @@
 """Arithmetic on what tasks need and runners have."""
 
 import pytest
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 
 WHOLE = Resources(8000, 4000, 2)
 
@@ -27,4 +27,4 @@
 def test_shares_are_of_the_kinds_that_there_are() -> None:
     part = Resources(4000, 1000, 2)
     assert part.share_of(WHOLE) == 1.0
-    assert part.share_of(NOTHING) == 0.0
+    assert part.share_of(NO_RESOURCES) == 0.0
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.admission import expected_wait
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRequest, new_job
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.speeds import (
     FARTHEST_FACTOR,
     HALF_LIFE,
@@ -29,7 +29,7 @@
 def report(kind: str, life: str = "life-1") -> RunnerReport:
     labels = (kind, "rack") if kind else ()
     return RunnerReport(
-        "svc", life, RunnerState.READY, Health.GOOD, CAPACITY, NOTHING, labels, kind=kind
+        "svc", life, RunnerState.READY, Health.GOOD, CAPACITY, NO_RESOURCES, labels, kind=kind
     )
 
 
--- a/testing/core/leased/test_wants.py
+++ b/testing/core/leased/test_wants.py
@@ -4,7 +4,7 @@
 import pytest
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import LATE_SECONDS, JobRecord, JobRequest, new_job
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wants import PAUSE_SECONDS, REPEAT_SECONDS, Wants
@@ -19,7 +19,9 @@
     capacity = Resources(8000, 8000)
     record.take_report(
         1.0,
-        RunnerReport(service, "i-1", RunnerState.READY, Health.GOOD, capacity, NOTHING, labels),
+        RunnerReport(
+            service, "i-1", RunnerState.READY, Health.GOOD, capacity, NO_RESOURCES, labels
+        ),
     )
     return record
 
--- a/testing/council/test_words.py
+++ b/testing/council/test_words.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from councilsystem import BEAT, System, WorkingRunner, call, play, until_true
-from paddleshunt_core.leased.resources import NOTHING
+from paddleshunt_core.leased.resources import NO_RESOURCES
 from paddleshunt_core.leased.wire import Entries, EntryAddress, Frame, Hello
 from paddleshunt_node.aio.httpclient import HttpClient
 from paddleshunt_node.aio.targetservice import LOOK_PAUSE
@@ -157,7 +157,7 @@
 def has_room(system: System) -> bool:
     """Whether the entry knows of room on the runner."""
     (target,) = system.entry._dispatcher.targets()
-    return target.free != NOTHING
+    return target.free != NO_RESOURCES
 
 
 def test_an_odd_row_of_the_runner_takes_no_target_down() -> None:
--- a/testing/leasedrunner.py
+++ b/testing/leasedrunner.py
@@ -11,7 +11,7 @@
     StartAnswer,
     StartRun,
 )
-from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import RunId, TaskId
 
@@ -157,7 +157,7 @@
 
     @property
     def used(self) -> Resources:
-        total = NOTHING
+        total = NO_RESOURCES
         for task in self.running.values():
             total += task.need
         return total
