--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/resources.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/resources.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-MOST_AMOUNT = 10**12
+MAX_AMOUNT = 10**12
 """Of anything, in a frame: far above any host, and sums of it still fit into a frame.
 
 What is free may be negative: a runner's capacity can shrink below what runs there.
 """
 
-Amount = Annotated[int, msgspec.Meta(ge=-MOST_AMOUNT, le=MOST_AMOUNT)]
+Amount = Annotated[int, msgspec.Meta(ge=-MAX_AMOUNT, le=MAX_AMOUNT)]
 
 
 @final
--- a/testing/core/leased/test_odd_frames.py
+++ b/testing/core/leased/test_odd_frames.py
@@ -7,7 +7,7 @@
 from leasedfleet import Fleet
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.outcomes import Completed
-from paddleshunt_core.leased.resources import MOST_AMOUNT, Resources
+from paddleshunt_core.leased.resources import MAX_AMOUNT, Resources
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.wire import (
     Assign,
@@ -51,7 +51,7 @@
         return self._rng.choice(["", "job", "t0", "e0", "x" * 300, "\x00", "é"])
 
     def amount(self) -> Resources:
-        near = [0, 1, 1000, -1, MOST_AMOUNT, -MOST_AMOUNT]
+        near = [0, 1, 1000, -1, MAX_AMOUNT, -MAX_AMOUNT]
         return Resources(*(self._rng.choice(near) for _ in range(3)))
 
     def task(self) -> TaskId:
@@ -113,7 +113,7 @@
                 msgspec.msgpack.encode(session.frame(now_ms))
 
 
-@pytest.mark.parametrize("amount", [MOST_AMOUNT + 1, -MOST_AMOUNT - 1, 2**63, 2**64 - 1])
+@pytest.mark.parametrize("amount", [MAX_AMOUNT + 1, -MAX_AMOUNT - 1, 2**63, 2**64 - 1])
 def test_an_amount_that_sums_could_not_be_sent_of_is_no_message(amount: int) -> None:
     raw = msgspec.msgpack.encode(Frame(1, 0, 0, 0, [Want(Resources(amount), 5)]))
     with pytest.raises(msgspec.ValidationError, match="Expected `int`"):
