--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
@@ -45,7 +45,7 @@
         self._known = told
         return set(told.halls) != before
 
-    def outdates(self, told: EvacuatedHalls) -> bool:
+    def supersedes(self, told: EvacuatedHalls) -> bool:
         """Whether a teller of `told` is to be told of other halls, as of a later revision."""
         later = told.revision < self._known.revision
         return later and set(told.halls) != set(self._known.halls)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -378,7 +378,7 @@
     def _learn(self, entry: str, news: EvacuationNews) -> list[Effect]:
         """Follow an entry's word of evacuated halls, or tell it a later one."""
         evacuations = self._control.evacuations
-        if evacuations.outdates(news.evacuated):
+        if evacuations.supersedes(news.evacuated):
             session = self.session(entry)
             if session is not None:
                 session.send(EvacuationNews(evacuations.known))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -326,7 +326,7 @@
                 for entry in readable(body.entries, link.peer, self._owner.refuse):
                     self.met(entry)
             case EvacuationNews():
-                if self._owner.evacuations.outdates(body.evacuated):
+                if self._owner.evacuations.supersedes(body.evacuated):
                     link.send(_loose(EvacuationNews(self._owner.evacuations.known)))
                 self._owner.learn(body.evacuated, link.peer)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -53,9 +53,9 @@
 def test_only_a_teller_that_takes_other_halls_for_evacuated_is_outdated() -> None:
     evacuations = Evacuations()
     evacuations.learn(HALL_A)
-    assert evacuations.outdates(EvacuatedHalls(10, ()))
-    assert not evacuations.outdates(EvacuatedHalls(10, ("a",)))
-    assert not evacuations.outdates(EvacuatedHalls(25, ()))
+    assert evacuations.supersedes(EvacuatedHalls(10, ()))
+    assert not evacuations.supersedes(EvacuatedHalls(10, ("a",)))
+    assert not evacuations.supersedes(EvacuatedHalls(25, ()))
 
 
 def worker_in(hall: str) -> Worker:
