--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -61,7 +61,7 @@
 
 
 @final
-class LossBook:
+class LossHistory:
     """The losses that one process knows of. Times are seconds of that process's clock.
 
     Of each life the newest word counts. One that falls silent again has answered in between, so
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -12,7 +12,7 @@
 
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.jobs import JobRecord, TaskPhase, TaskRecord
-from paddleshunt_core.leased.losses import LossBook
+from paddleshunt_core.leased.losses import LossHistory
 from paddleshunt_core.leased.outcomes import GivenUp
 from paddleshunt_core.leased.wire import LossNews, RunnerReturned, RunnerSilent
 
@@ -46,7 +46,7 @@
     """What an entry goes by when it tries a task again, or gives its job up."""
 
     def __init__(self) -> None:
-        self._losses = LossBook()
+        self._losses = LossHistory()
 
     def known_losses(self, now: float) -> list[LossNews]:
         """Return what is remembered of lost runners, to hand on."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.entrylink import EntryLink
 from paddleshunt_core.leased.evacuation import evacuation_note
 from paddleshunt_core.leased.incarnations import Claim
-from paddleshunt_core.leased.losses import LossBook
+from paddleshunt_core.leased.losses import LossHistory
 from paddleshunt_core.leased.offers import Offers
 from paddleshunt_core.leased.orders import Look, LookAnswer, RunnerAccount, StartAnswer
 from paddleshunt_core.leased.reporting import Reporter
@@ -60,7 +60,7 @@
         self._links: dict[str, EntryLink] = {}
         self._offers = Offers()
         self._reporter = Reporter(times, self._control, self._offers)
-        self._losses = LossBook()
+        self._losses = LossHistory()
         """What this target saw of its own runner, for entries that it meets later."""
         self._pauses = StandStill(STILL_HEARTBEATS * times.heartbeat)
         self.sheds = False
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, new_job
-from paddleshunt_core.leased.losses import LossBook
+from paddleshunt_core.leased.losses import LossHistory
 from paddleshunt_core.leased.outcomes import GivenUp
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.retries import (
@@ -82,14 +82,14 @@
     return truth, draw(st.lists(st.sampled_from(said), max_size=2 * len(said)))
 
 
-def told(words: Iterable[LossNews]) -> LossBook:
-    book = LossBook()
+def told(words: Iterable[LossNews]) -> LossHistory:
+    book = LossHistory()
     for word in words:
         book.follow(1.0, word)
     return book
 
 
-def state(book: LossBook) -> State:
+def state(book: LossHistory) -> State:
     return {task: (set(book.runners(task)), set(book.ended(task))) for task in TASKS}
 
 
