--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -162,7 +162,7 @@
         lives = self._by_task.get(task, ())
         return [life for life in lives if task in self._losses[life].lost.ended]
 
-    def was_shared(self, life: RunnerLife, job: str) -> bool:
+    def was_correlated(self, life: RunnerLife, job: str) -> bool:
         """Whether a life was lost together with others that had no task of a job."""
         at = self._losses[life].at
         others = [
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -120,5 +120,5 @@
         the bound on harm is one runner more then, and not more than that.
         """
         lives = self._losses.runners(task.id)
-        shared = any(self._losses.was_shared(life, task.id.job) for life in lives)
+        shared = any(self._losses.was_correlated(life, task.id.job) for life in lives)
         return len(lives) - shared
