--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -15,7 +15,7 @@
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import LossId, LossNews, RunnerLost, RunnerReturned, TaskId
 
-KEEP_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """Seconds for which a loss is remembered: some tries of a caller, at 4 s and a pause each."""
 
 MOST_REMEMBERED = 256
@@ -141,10 +141,10 @@
     def expire(self, now: float) -> None:
         """Forget what is too old to say anything."""
         for life, known in list(self._losses.items()):
-            if now >= known.kept + KEEP_SECONDS:
+            if now >= known.kept + RETENTION_SECONDS:
                 self._forget(life)
         for life, answered in list(self._answered.items()):
-            if now < answered.at + KEEP_SECONDS:
+            if now < answered.at + RETENTION_SECONDS:
                 break
             del self._answered[life]
 
--- a/testing/core/leased/test_losses.py
+++ b/testing/core/leased/test_losses.py
@@ -2,7 +2,12 @@
 
 import pytest
 from msgspec.structs import replace
-from paddleshunt_core.leased.losses import KEEP_SECONDS, MOST_REMEMBERED, MOST_RETURNED, LossHistory
+from paddleshunt_core.leased.losses import (
+    MOST_REMEMBERED,
+    MOST_RETURNED,
+    RETENTION_SECONDS,
+    LossHistory,
+)
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import LossId, RunnerLost, TaskId
 
@@ -52,8 +57,8 @@
 
 def test_a_loss_is_forgotten_after_a_while(book: LossHistory) -> None:
     book.learn(2.0, lost("i-2", TASK))
-    known = replace(lost("i-2", TASK), ago_ms=round((KEEP_SECONDS - 1.0) * 1000))
-    assert book.all(1.0 + KEEP_SECONDS) == [known]
+    known = replace(lost("i-2", TASK), ago_ms=round((RETENTION_SECONDS - 1.0) * 1000))
+    assert book.all(1.0 + RETENTION_SECONDS) == [known]
     assert book.runners(TASK) == [RunnerLife("i-2")]
 
 
@@ -62,7 +67,7 @@
     other = LossHistory()
     assert other.learn(100.0, first)
     assert other.all(110.0) == [replace(first, ago_ms=40_000)]
-    assert other.all(100.0 - 30.0 + KEEP_SECONDS) == []
+    assert other.all(100.0 - 30.0 + RETENTION_SECONDS) == []
 
 
 def test_no_more_than_a_bound_is_remembered(book: LossHistory) -> None:
@@ -100,7 +105,7 @@
 def test_an_end_is_remembered_as_long_as_the_loss_before_it(book: LossHistory) -> None:
     book.learn(4.0, ENDED)
     assert book.all(31.0) == [replace(ENDED, ago_ms=30_000)]
-    assert book.all(1.0 + KEEP_SECONDS) == []
+    assert book.all(1.0 + RETENTION_SECONDS) == []
 
 
 def test_a_life_that_falls_silent_again_has_answered_since_its_earlier_loss(
@@ -120,7 +125,7 @@
     for news in book.all(2.0):
         other.follow(2.0, news)
     assert other.runners(TASK) == []
-    assert book.all(1.5 + KEEP_SECONDS) == []
+    assert book.all(1.5 + RETENTION_SECONDS) == []
 
 
 def test_no_more_answers_than_a_bound_are_remembered() -> None:
--- a/testing/core/leased/test_lost_looks.py
+++ b/testing/core/leased/test_lost_looks.py
@@ -5,7 +5,7 @@
 import pytest
 from leasedfleet import STEP, Fleet
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.losses import KEEP_SECONDS
+from paddleshunt_core.leased.losses import RETENTION_SECONDS
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, StartAnswer, StartRun
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
@@ -56,7 +56,7 @@
 def test_a_crashing_job_is_bounded_for_as_long_as_it_is_sent_again() -> None:
     fleet = Fleet(entries=2, targets=12)
     fleet.settle()
-    for second in range(2 * round(KEEP_SECONDS) + 10):
+    for second in range(2 * round(RETENTION_SECONDS) + 10):
         fleet.submit_crashing("e0", "bad", count=1, deadline=1.0)
         if second % 20 == 10:
             fleet.submit_crashing("e1", f"other{second}", count=1, deadline=1.0)
--- a/testing/core/leased/test_retries.py
+++ b/testing/core/leased/test_retries.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, TaskPhase, new_job
-from paddleshunt_core.leased.losses import KEEP_SECONDS
+from paddleshunt_core.leased.losses import RETENTION_SECONDS
 from paddleshunt_core.leased.outcomes import GivenUp
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.retries import (
@@ -158,8 +158,8 @@
     retries = Retries()
     for number in range(LOST_RUNNERS):
         retries.learn(1.0, loss(number, job), "t")
-    assert retries.outcome(0.9 + KEEP_SECONDS, job) == GivenUp(SILENT_RUNNERS)
-    assert retries.outcome(1.0 + KEEP_SECONDS, job) is None
+    assert retries.outcome(0.9 + RETENTION_SECONDS, job) == GivenUp(SILENT_RUNNERS)
+    assert retries.outcome(1.0 + RETENTION_SECONDS, job) is None
 
 
 @pytest.mark.parametrize(("word", "kept"), [(loss, False), (end, True)], ids=["silent", "ended"])
