--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 from typing import final
 
-from paddleshunt_core.leased.losses import TOGETHER_SECONDS
+from paddleshunt_core.leased.losses import CORRELATION_SECONDS
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import (
     LossId,
@@ -308,7 +308,7 @@
     shortest: dict[int, _Second] = {}
     group, began = 0, float("-inf")
     for each in seen:
-        if each.at > began + TOGETHER_SECONDS:
+        if each.at > began + CORRELATION_SECONDS:
             group, began = group + 1, each.at
         again: dict[str, _Second] = {}
         for name, tasks in each.work.items():
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -28,7 +28,7 @@
 """
 
 
-TOGETHER_SECONDS = 0.15
+CORRELATION_SECONDS = 0.15
 """Runners that are lost within so many seconds of one another may have one cause outside of them.
 
 It is longer than the looks that notice a loss are apart.
@@ -168,7 +168,7 @@
         others = [
             each
             for other, each in self._losses.items()
-            if other != life and abs(each.at - at) <= TOGETHER_SECONDS
+            if other != life and abs(each.at - at) <= CORRELATION_SECONDS
             if not any(task.job == job for task in each.lost.tasks)
         ]
         return len(others) >= SHARED_LOSSES
