--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -123,7 +123,7 @@
             self._forget(loss.life)
         return True
 
-    def all(self, now: float) -> list[LossNews]:
+    def export(self, now: float) -> list[LossNews]:
         """Return what is remembered, to hand on; each loss says how long it has been known.
 
         It includes who answered again: whoever heard of the loss alone would count it.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -50,7 +50,7 @@
 
     def known_losses(self, now: float) -> list[LossNews]:
         """Return what is remembered of lost runners, to hand on."""
-        return self._losses.all(now)
+        return self._losses.export(now)
 
     def learn(self, now: float, news: LossNews, source: str) -> list[Log]:
         """Follow a word on a lost runner; return the line about it, none if it was known.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -157,7 +157,7 @@
         session = Session(hello.session, int(said * 1000))
         link.phase = len(self.session_names()) % BEAT_PHASES / BEAT_PHASES
         link.open(now, hello.life, session)
-        for loss in self._losses.all(now):
+        for loss in self._losses.export(now):
             session.send(loss)
         fields: dict[str, str | int | float] = {"entry": hello.name, "session": hello.session}
         return [*effects, note("session_opened", **fields)]
--- a/testing/core/leased/test_losses.py
+++ b/testing/core/leased/test_losses.py
@@ -58,22 +58,22 @@
 def test_a_loss_is_forgotten_after_a_while(book: LossHistory) -> None:
     book.learn(2.0, lost("i-2", TASK))
     known = replace(lost("i-2", TASK), ago_ms=round((RETENTION_SECONDS - 1.0) * 1000))
-    assert book.all(1.0 + RETENTION_SECONDS) == [known]
+    assert book.export(1.0 + RETENTION_SECONDS) == [known]
     assert book.runners(TASK) == [RunnerLife("i-2")]
 
 
 def test_what_is_handed_on_says_for_how_long_it_has_been_known(book: LossHistory) -> None:
-    (first,) = book.all(31.0)
+    (first,) = book.export(31.0)
     other = LossHistory()
     assert other.learn(100.0, first)
-    assert other.all(110.0) == [replace(first, ago_ms=40_000)]
-    assert other.all(100.0 - 30.0 + RETENTION_SECONDS) == []
+    assert other.export(110.0) == [replace(first, ago_ms=40_000)]
+    assert other.export(100.0 - 30.0 + RETENTION_SECONDS) == []
 
 
 def test_no_more_than_a_bound_is_remembered(book: LossHistory) -> None:
     for number in range(MOST_REMEMBERED):
         book.learn(2.0, lost(f"j-{number}", TaskId(f"job{number}", 0, 0)))
-    assert len(book.all(2.0)) == MOST_REMEMBERED
+    assert len(book.export(2.0)) == MOST_REMEMBERED
     assert book.runners(TASK) == []
 
 
@@ -104,8 +104,8 @@
 
 def test_an_end_is_remembered_as_long_as_the_loss_before_it(book: LossHistory) -> None:
     book.learn(4.0, ENDED)
-    assert book.all(31.0) == [replace(ENDED, ago_ms=30_000)]
-    assert book.all(1.0 + RETENTION_SECONDS) == []
+    assert book.export(31.0) == [replace(ENDED, ago_ms=30_000)]
+    assert book.export(1.0 + RETENTION_SECONDS) == []
 
 
 def test_a_life_that_falls_silent_again_has_answered_since_its_earlier_loss(
@@ -122,14 +122,14 @@
     book.returned(1.5, LossId("i-1", 1000))
     other = LossHistory()
     other.learn(2.0, lost("i-1", TASK, OTHER))
-    for news in book.all(2.0):
+    for news in book.export(2.0):
         other.follow(2.0, news)
     assert other.runners(TASK) == []
-    assert book.all(1.5 + RETENTION_SECONDS) == []
+    assert book.export(1.5 + RETENTION_SECONDS) == []
 
 
 def test_no_more_answers_than_a_bound_are_remembered() -> None:
     book = LossHistory()
     for number in range(MOST_RETURNED + 1):
         book.returned(1.0, LossId(f"i-{number}", 1000))
-    assert len(book.all(1.0)) == MOST_RETURNED
+    assert len(book.export(1.0)) == MOST_RETURNED
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -192,7 +192,7 @@
 ) -> None:
     _, words = case
     halves = told(words[:cut]), told(words[cut:])
-    third = told(news for book in halves for news in book.all(1.0))
+    third = told(news for book in halves for news in book.export(1.0))
     assert state(third) == state(told(words))
 
 
