--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -74,7 +74,7 @@
         self._by_task: dict[TaskId, list[RunnerLife]] = {}
         self._answered: dict[RunnerLife, _Answered] = {}
 
-    def follow(self, now: float, news: LossNews) -> bool:
+    def apply(self, now: float, news: LossNews) -> bool:
         """Follow a word on a lost runner; return whether it was news. A silent one is none."""
         if isinstance(news, RunnerReturned):
             return self.returned(now, news.loss)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -57,7 +57,7 @@
 
         One that is only silent counts for nothing: what is at work on it may go on.
         """
-        if isinstance(news, RunnerSilent) or not self._losses.follow(now, news):
+        if isinstance(news, RunnerSilent) or not self._losses.apply(now, news):
             return []
         runner = str(news.loss.life)
         if isinstance(news, RunnerReturned):
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -415,7 +415,7 @@
     def _collect(self, now: float) -> None:
         """Give each entry the ends of its runs, and all entries word of a lost runner before."""
         for news in self._control.losses.take_news():
-            self._losses.follow(now, news)
+            self._losses.apply(now, news)
             for known in self._links.values():
                 if known.session is not None:
                     known.session.send(news)
--- a/testing/core/leased/test_losses.py
+++ b/testing/core/leased/test_losses.py
@@ -123,7 +123,7 @@
     other = LossHistory()
     other.learn(2.0, lost("i-1", TASK, OTHER))
     for news in book.export(2.0):
-        other.follow(2.0, news)
+        other.apply(2.0, news)
     assert other.runners(TASK) == []
     assert book.export(1.5 + RETENTION_SECONDS) == []
 
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -85,7 +85,7 @@
 def told(words: Iterable[LossNews]) -> LossHistory:
     book = LossHistory()
     for word in words:
-        book.follow(1.0, word)
+        book.apply(1.0, word)
     return book
 
 
