--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -148,7 +148,7 @@
                 break
             del self._answered[life]
 
-    def keep(self, now: float, task: TaskId) -> None:
+    def extend_retention(self, now: float, task: TaskId) -> None:
         """Remember for longer which lives have ended under a task, as it is asked for yet."""
         for life in self.ended(task):
             self._losses[life] = replace_field(self._losses[life], kept=now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -73,7 +73,7 @@
         outcome = self.outcome(now, job)
         if outcome is not None and outcome.reason == ENDED_RUNNERS:
             for task in job.tasks:
-                self._losses.keep(now, task.id)
+                self._losses.extend_retention(now, task.id)
         return outcome
 
     def outcome(self, now: float, job: JobRecord) -> GivenUp | None:
