--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -69,12 +69,19 @@
             target.reserve(job.request.need)
             chosen.setdefault(target.name, []).append(task)
         self.assigned += [by_name[name] for name in chosen]
-        typical = self._speeds.typical(job.queue.service)
-        return [_send(now, job, by_name[name], tasks, typical) for name, tasks in chosen.items()]
+        typical_slowness = self._speeds.typical_slowness(job.queue.service)
+        return [
+            _send(now, job, by_name[name], tasks, typical_slowness)
+            for name, tasks in chosen.items()
+        ]
 
 
 def _send(
-    now: float, job: JobRecord, target: TargetRecord, tasks: list[TaskRecord], typical: float
+    now: float,
+    job: JobRecord,
+    target: TargetRecord,
+    tasks: list[TaskRecord],
+    typical_slowness: float,
 ) -> Log:
     """Send tasks; a target judges its runner by the estimate, so a slow kind is given more time.
 
@@ -88,7 +95,7 @@
         step=0,
         spec=request.spec,
         need=request.need,
-        estimate_ms=round(job.length * max(1.0, target.kind_factor / typical) * 1000),
+        estimate_ms=round(job.length * max(1.0, target.kind_factor / typical_slowness) * 1000),
         expires_ms=round((job.expires - now) * 1000),
         runs=[(task.id.index, task.number) for task in tasks],
         queue=job.queue.name,
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -178,7 +178,7 @@
         kinds = room.kinds(job.queue.service)
         slowest = (job.due - OVERHEAD_SECONDS - now) / job.length
         likely = slowest / (1 + LIKELY * (_margin(job) - 1))
-        usual = self._speeds.typical(job.queue.service)
+        usual = self._speeds.typical_slowness(job.queue.service)
         fit = [
             kind
             for kind in kinds
@@ -233,7 +233,7 @@
         self, now: float, job: JobRecord, target: TargetRecord, *, even: bool
     ) -> _Candidate:
         """Return a candidate; with `even`, as if hosts of all kinds were alike."""
-        usual = target.kind_factor if even else self._speeds.typical(job.queue.service)
+        usual = target.kind_factor if even else self._speeds.typical_slowness(job.queue.service)
         factor = self.away_factor(job, target) / usual
         way = 0.0 if target.hall == self._hall else self._hall_preference
         kind = target.kind_factor * factor
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -37,7 +37,7 @@
         request = job.request
         work = work_of(now - task.placed_at) / self._placement.away_factor(job, target)
         task.work, task.ran_on = work, target.runner
-        sound = work * self._speeds.typical(job.queue.service) / target.slowness
+        sound = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
         self._lengths.of(job.queue.name).ended(request.estimate, request.deadline, sound)
 
     def compare_tasks(self, job: JobRecord, targets: Mapping[str, TargetRecord]) -> None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -4,7 +4,7 @@
 differs by from its kind is its own deviation (`TargetRecord.deviation`). Both are learned by
 comparing the tasks of one job, which are alike, so that a wrong length says nothing of a host.
 That matters: the tasks that are thought to be short are those that slow hosts are given. Lengths
-are meant for a usual host (`typical`, the mean over the targets known).
+are meant for a usual host (`typical_slowness`, the mean over the targets known).
 """
 
 from collections.abc import Iterable
@@ -189,7 +189,7 @@
         """Kinds that a target reported to be."""
         self._faded: float | None = None
 
-    def typical(self, service: str) -> float:
+    def typical_slowness(self, service: str) -> float:
         """Return the slowness of a usual host; a job's length is meant for such a one."""
         return self._typical.get(service, 1.0)
 
@@ -240,7 +240,7 @@
                 sample.target.took(sample.length / _mean(others), 1.0)
             else:
                 # A length is meant for a usual host, and what a sample tells for one of factor 1.
-                ratio = sample.length * self.typical(sample.kind[0]) / expected
+                ratio = sample.length * self.typical_slowness(sample.kind[0]) / expected
                 sample.target.took(ratio, LENGTH_WEIGHT_ALONE)
             self.reported(sample.target)
 
@@ -334,7 +334,7 @@
                 return False
             known = self._evidence(kind)
         slowness = _bounded(word.slowness_thousandths / 1000, FARTHEST_WORD)
-        factor = slowness * self.typical(word.service)
+        factor = slowness * self.typical_slowness(word.service)
         known.weight = known.paired = min(ends / TRUSTED_MORE, PROVEN)
         seen = factor ** ((known.weight + BELIEF_ENDS) / known.weight)
         known.seen = known.told = _bounded(seen, FARTHEST_FACTOR)
@@ -343,7 +343,7 @@
 
     def _word(self, kind: Kind, evidence: _Evidence) -> KindSpeed:
         service, name = kind
-        slowness = evidence.factor / self.typical(service)
+        slowness = evidence.factor / self.typical_slowness(service)
         return KindSpeed(service, name, round(1000 * slowness), round(evidence.own))
 
     def _evidence(self, kind: Kind) -> _Evidence:
