--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -304,7 +304,7 @@
 
     def told_speeds(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
         """Take another entry's word on kinds of hosts that it knows much better."""
-        taken = self._speeds.told(news)
+        taken = self._speeds.merge(news)
         if taken:
             self._speeds.compare(now, self._targets.values())
         return [kind_note(word, source) for word in taken]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -313,7 +313,7 @@
                 kinds.append(self._word(kind, evidence))
         return SpeedNews(kinds) if kinds else None
 
-    def told(self, news: SpeedNews) -> list[KindSpeed]:
+    def merge(self, news: SpeedNews) -> list[KindSpeed]:
         """Take another entry's word where it knows much more, and return what was taken.
 
         What is taken counts for a few ends, so that those seen here soon weigh more, and is told
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -249,7 +249,7 @@
 def test_a_fresh_entry_takes_what_another_knows() -> None:
     speeds = Speeds()
     ours = target("b")
-    assert len(speeds.told(TOLD)) == 2
+    assert len(speeds.merge(TOLD)) == 2
     assert ratio(speeds) == pytest.approx(RATIO, rel=0.03)
     speeds.compare(0.0, [ours, target("a", "t1")])
     assert ours.slowness == speeds.factor("svc", "b")
@@ -259,13 +259,13 @@
     speeds = Speeds()
     teach(speeds, fleet("a", "b"), 100)
     before = ratio(speeds)
-    assert speeds.told(known_by({"a": 1700, "b": 700})) == []
+    assert speeds.merge(known_by({"a": 1700, "b": 700})) == []
     assert ratio(speeds) == before
 
 
 def test_own_ends_soon_outweigh_another_entrys_nonsense() -> None:
     speeds = Speeds()
-    speeds.told(known_by({"a": 8000, "b": 125}, ends=10**9))
+    speeds.merge(known_by({"a": 8000, "b": 125}, ends=10**9))
     teach(speeds, fleet("a", "b"), 300)
     assert ratio(speeds) == pytest.approx(RATIO, rel=0.15)
 
@@ -283,14 +283,14 @@
 )
 def test_nonsense_is_not_taken(word: KindSpeed) -> None:
     speeds = Speeds()
-    assert speeds.told(SpeedNews([word])) == []
+    assert speeds.merge(SpeedNews([word])) == []
     assert speeds.all() == []
 
 
 @pytest.mark.parametrize("thousandths", [1, 10**12], ids=["fast", "slow"])
 def test_no_word_goes_beyond_the_bounds(thousandths: int) -> None:
     speeds = Speeds()
-    speeds.told(known_by({"a": thousandths}, ends=10**12))
+    speeds.merge(known_by({"a": thousandths}, ends=10**12))
     assert 1 / FARTHEST_FACTOR <= speeds.factor("svc", "a") <= FARTHEST_FACTOR
     assert speeds.all()[0].ends <= MEMORY_ENDS
 
@@ -300,7 +300,7 @@
     teach(speeds, fleet("a", "b"), 50)
     before = ratio(speeds)
     for number in range(3):
-        speeds.told(known_by({f"k{number}-{n}": 700 for n in range(MOST_KINDS)}))
+        speeds.merge(known_by({f"k{number}-{n}": 700 for n in range(MOST_KINDS)}))
     assert len(speeds.all()) == MOST_KINDS
     assert ratio(speeds) == before
     teach(speeds, fleet("c"), 1)
@@ -309,7 +309,7 @@
 
 def test_kinds_of_which_there_are_hosts_are_learned_beside_sixty_four_that_are_nonsense() -> None:
     speeds = Speeds()
-    speeds.told(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
+    speeds.merge(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
     targets = fleet("a", "b")
     teach(speeds, targets, 100)
     assert ratio(speeds) == pytest.approx(RATIO, rel=0.1)
@@ -317,9 +317,9 @@
 
 def test_a_word_on_a_kind_of_which_there_are_hosts_takes_the_place_of_nonsense() -> None:
     speeds = Speeds()
-    speeds.told(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
+    speeds.merge(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
     speeds.compare(0.0, fleet("a", "b"))
-    assert len(speeds.told(TOLD)) == 2
+    assert len(speeds.merge(TOLD)) == 2
     assert len(speeds.all()) == MOST_KINDS
 
 
@@ -327,7 +327,7 @@
     speeds = Speeds()
     teach(speeds, fleet("a", "b"), 8)
     assert speeds.known() is not None
-    assert len(speeds.told(TOLD)) == 2
+    assert len(speeds.merge(TOLD)) == 2
     assert speeds.known() is None
     assert speeds.news() is None
 
@@ -335,7 +335,7 @@
 def test_what_was_only_heard_is_to_be_proved() -> None:
     speeds = Speeds()
     targets = fleet("a", "b")
-    speeds.told(TOLD)
+    speeds.merge(TOLD)
     speeds.compare(0.0, targets)
     assert speeds.is_unproven("svc")
     teach(speeds, targets, 50)
@@ -346,7 +346,7 @@
 
 def test_what_was_heard_is_not_told_on() -> None:
     speeds = Speeds()
-    speeds.told(TOLD)
+    speeds.merge(TOLD)
     assert speeds.known() is None
     assert speeds.news() is None
 
