--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -295,7 +295,7 @@
 
     # Other entries.
 
-    def known(self) -> SpeedNews | None:
+    def export(self) -> SpeedNews | None:
         """Return all that was learned here, for an entry that was just met."""
         kinds = [
             self._word(kind, evidence)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -303,7 +303,7 @@
     def opened(self, link: PeerLink) -> None:
         """Greet an entry that was dialled; tell it all others, lost runners and kinds of hosts."""
         link.send(self._greeting)
-        speeds = self._owner.speeds.known()
+        speeds = self._owner.speeds.export()
         known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
         version = CatalogVersion(self._owner.catalog.version)
         link.send(_loose(Entries(self.live()), version, *known))
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -326,9 +326,9 @@
 def test_what_was_heard_after_a_few_own_ends_is_not_told_on() -> None:
     speeds = Speeds()
     teach(speeds, fleet("a", "b"), 8)
-    assert speeds.known() is not None
+    assert speeds.export() is not None
     assert len(speeds.merge(TOLD)) == 2
-    assert speeds.known() is None
+    assert speeds.export() is None
     assert speeds.news() is None
 
 
@@ -347,7 +347,7 @@
 def test_what_was_heard_is_not_told_on() -> None:
     speeds = Speeds()
     speeds.merge(TOLD)
-    assert speeds.known() is None
+    assert speeds.export() is None
     assert speeds.news() is None
 
 
@@ -361,7 +361,7 @@
     assert told is not None
     assert {word.kind for word in told.kinds} == {"a", "b"}
     assert speeds.news() is None
-    assert speeds.known() is not None
+    assert speeds.export() is not None
 
 
 def test_the_expected_wait_goes_by_the_room_of_fast_hosts() -> None:
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -178,7 +178,7 @@
             self.dispatchers[name] = self._dispatcher()
             for other, dispatcher in self.dispatchers.items():
                 if other != name and self.entries[other].moves:
-                    self._hear_speeds(name, dispatcher.speeds.known(), other)
+                    self._hear_speeds(name, dispatcher.speeds.export(), other)
         else:
             self.workers[name] = Worker(self.times)
             self._calls[name] = Call(None, self._calls[name].token)
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -373,7 +373,7 @@
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         learned(owner.speeds)
         peers.opened(link)  # type: ignore[arg-type]
-        assert owner.speeds.known() in link.frames[-1].bodies
+        assert owner.speeds.export() in link.frames[-1].bodies
 
     play(monkeypatch, [], scene)
 
