--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -304,7 +304,7 @@
         ]
         return SpeedNews(kinds) if kinds else None
 
-    def news(self) -> SpeedNews | None:
+    def take_changes(self) -> SpeedNews | None:
         """Return what was learned here since the last call; None if that is nothing."""
         kinds = []
         for kind, evidence in self._kinds.items():
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -210,7 +210,7 @@
                 EvacuationNews(self._owner.evacuations.known),
                 TargetsHeld(self._owner.targets_held()),
             )
-            learned = self._owner.speeds.news()
+            learned = self._owner.speeds.take_changes()
             if learned is not None:
                 self._send_all(learned)
             links = self._dialer.links()
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -329,7 +329,7 @@
     assert speeds.export() is not None
     assert len(speeds.merge(TOLD)) == 2
     assert speeds.export() is None
-    assert speeds.news() is None
+    assert speeds.take_changes() is None
 
 
 def test_what_was_only_heard_is_to_be_proved() -> None:
@@ -348,19 +348,19 @@
     speeds = Speeds()
     speeds.merge(TOLD)
     assert speeds.export() is None
-    assert speeds.news() is None
+    assert speeds.take_changes() is None
 
 
 def test_the_others_are_told_only_what_has_changed() -> None:
     speeds = Speeds()
     targets = fleet("a", "a", "b")
     teach(speeds, targets, 1)
-    assert speeds.news() is None
+    assert speeds.take_changes() is None
     teach(speeds, targets, 300)
-    told = speeds.news()
+    told = speeds.take_changes()
     assert told is not None
     assert {word.kind for word in told.kinds} == {"a", "b"}
-    assert speeds.news() is None
+    assert speeds.take_changes() is None
     assert speeds.export() is not None
 
 
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -495,7 +495,7 @@
 
     def _tell_speeds(self) -> None:
         for name, node in self.entries.items():
-            news = self.dispatchers[name].speeds.news() if node.moves else None
+            news = self.dispatchers[name].speeds.take_changes() if node.moves else None
             for other, theirs in self.entries.items():
                 if other != name and theirs.moves:
                     self._hear_speeds(other, news, name)
