--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -166,7 +166,7 @@
             "waiting_tasks": sum(len(job.waiting()) for job in self._jobs.all()),
             "evacuated_halls": self._evacuations.known.halls,
             "evacuations_revision": self._evacuations.known.revision,
-            "kinds": self._speeds.all(),
+            "kinds": self._speeds.snapshot(),
             "confined_queues": self._containment.describe(),
             "targets": {t.name: t.describe(now) for t in self._targets.values()},
         }
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -278,7 +278,7 @@
         self._note_unproven(known)
         self._typical = {name: sum(each) / len(each) for name, each in factors.items()}
 
-    def all(self) -> list[KindSpeed]:
+    def snapshot(self) -> list[KindSpeed]:
         """Return what is known of each kind, for operators; other entries are told less."""
         return [self._word(kind, evidence) for kind, evidence in self._kinds.items()]
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
@@ -38,7 +38,7 @@
 def _kind_slowness(dispatcher: Dispatcher) -> list[tuple[dict[str, str], float]]:
     return [
         ({"service": word.service, "kind": word.kind}, word.slowness_thousandths / 1000)
-        for word in dispatcher.speeds.all()
+        for word in dispatcher.speeds.snapshot()
     ]
 
 
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -202,7 +202,7 @@
     targets = fleet("a", "b")
     done = [(targets[number % 2], 0.7 + number % 2) for number in range(3000)]
     speeds.compare_tasks(0.4, done)
-    assert sum(word.ends for word in speeds.all()) <= MOST_COMPARED
+    assert sum(word.ends for word in speeds.snapshot()) <= MOST_COMPARED
 
 
 def test_what_is_not_seen_for_long_is_forgotten() -> None:
@@ -284,7 +284,7 @@
 def test_nonsense_is_not_taken(word: KindSpeed) -> None:
     speeds = Speeds()
     assert speeds.merge(SpeedNews([word])) == []
-    assert speeds.all() == []
+    assert speeds.snapshot() == []
 
 
 @pytest.mark.parametrize("thousandths", [1, 10**12], ids=["fast", "slow"])
@@ -292,7 +292,7 @@
     speeds = Speeds()
     speeds.merge(known_by({"a": thousandths}, ends=10**12))
     assert 1 / FARTHEST_FACTOR <= speeds.factor("svc", "a") <= FARTHEST_FACTOR
-    assert speeds.all()[0].ends <= MEMORY_ENDS
+    assert speeds.snapshot()[0].ends <= MEMORY_ENDS
 
 
 def test_no_more_kinds_are_remembered_than_the_limit() -> None:
@@ -301,10 +301,10 @@
     before = ratio(speeds)
     for number in range(3):
         speeds.merge(known_by({f"k{number}-{n}": 700 for n in range(MOST_KINDS)}))
-    assert len(speeds.all()) == MOST_KINDS
+    assert len(speeds.snapshot()) == MOST_KINDS
     assert ratio(speeds) == before
     teach(speeds, fleet("c"), 1)
-    assert len(speeds.all()) == MOST_KINDS
+    assert len(speeds.snapshot()) == MOST_KINDS
 
 
 def test_kinds_of_which_there_are_hosts_are_learned_beside_sixty_four_that_are_nonsense() -> None:
@@ -320,7 +320,7 @@
     speeds.merge(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
     speeds.compare(0.0, fleet("a", "b"))
     assert len(speeds.merge(TOLD)) == 2
-    assert len(speeds.all()) == MOST_KINDS
+    assert len(speeds.snapshot()) == MOST_KINDS
 
 
 def test_what_was_heard_after_a_few_own_ends_is_not_told_on() -> None:
