--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -562,7 +562,7 @@
             case RunnerReport():
                 target.covered(frame)
                 target.take_report(now, body)
-                self._speeds.reported(target)
+                self._speeds.set_kind_factor(target)
                 self._wants.reported(target)
                 self._check_evacuation(target, body)
             case EvacuationNews():
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -205,7 +205,7 @@
         """
         return service in self._unproven
 
-    def reported(self, target: TargetRecord) -> None:
+    def set_kind_factor(self, target: TargetRecord) -> None:
         """Give a target the factor of the kind that its report names."""
         report = target.report
         if report is not None:
@@ -242,7 +242,7 @@
                 # A length is meant for a usual host, and what a sample tells for one of factor 1.
                 ratio = sample.length * self.typical_slowness(sample.kind[0]) / expected
                 sample.target.took(ratio, LENGTH_WEIGHT_ALONE)
-            self.reported(sample.target)
+            self.set_kind_factor(sample.target)
 
     def tick(self, now: float, targets: Iterable[TargetRecord]) -> None:
         """Compare hosts if they have not been for a while."""
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -158,7 +158,7 @@
     targets = fleet("a", "a", "b")
     teach(speeds, targets, 100, {"t0": 2.5})
     targets[0].take_report(1.0, report("b", "life-2"))
-    speeds.reported(targets[0])
+    speeds.set_kind_factor(targets[0])
     assert targets[0].deviation == 1.0
     assert targets[0].slowness == speeds.factor("svc", "b")
 
