--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -306,7 +306,7 @@
         """Take another entry's word on kinds of hosts that it knows much better."""
         taken = self._speeds.merge(news)
         if taken:
-            self._speeds.compare(now, self._targets.values())
+            self._speeds.refresh(now, self._targets.values())
         return [kind_note(word, source) for word in taken]
 
     # Targets.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -247,9 +247,9 @@
     def tick(self, now: float, targets: Iterable[TargetRecord]) -> None:
         """Compare hosts if they have not been for a while."""
         if self._faded is None or now >= self._faded + COMPARE_SECONDS:
-            self.compare(now, targets)
+            self.refresh(now, targets)
 
-    def compare(self, now: float, targets: Iterable[TargetRecord]) -> None:
+    def refresh(self, now: float, targets: Iterable[TargetRecord]) -> None:
         """Note how slow hosts usually are, and let go of what has not shown for a while."""
         seconds = 0.0 if self._faded is None else max(0.0, now - self._faded)
         self._faded = now
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -61,7 +61,7 @@
     for _ in range(jobs):
         where = rng.choices(targets, k=4)
         done = [(t, works(t, 0.4, rng, (odd or {}).get(t.name, 1.0))) for t in where]
-        speeds.compare(0.0, targets)
+        speeds.refresh(0.0, targets)
         speeds.compare_tasks(0.4, done)
 
 
@@ -94,7 +94,7 @@
             kind = "b" if expected < 0.4 else "a"
             where = rng.choices([t for t in targets if t.report and t.report.kind == kind], k=4)
         done = [(t, works(t, length, rng)) for t in where]
-        speeds.compare(0.077 * number, targets)
+        speeds.refresh(0.077 * number, targets)
         for each, work in done:
             lengths.ended(estimate, 3.0, work * speeds.typical_slowness("svc") / each.slowness)
         speeds.compare_tasks(expected, done)
@@ -114,7 +114,7 @@
     for number in range(2000):
         length = rng.uniform(0.2, 0.6)
         estimate = length * rng.uniform(1 / 1.5, 1.5)
-        speeds.compare(0.02 * number, targets)
+        speeds.refresh(0.02 * number, targets)
         expected = lengths.expect(estimate, 3.0).length
         where = rng.choices(targets, k=rng.choice(widths))
         done = [(t, works(t, length, rng)) for t in where]
@@ -129,7 +129,7 @@
     speeds = Speeds()
     targets = fleet("a", "a", "b")
     teach(speeds, targets, 100)
-    speeds.compare(0.0, targets)
+    speeds.refresh(0.0, targets)
     usual = sum(t.kind_factor for t in targets) / 3
     assert speeds.typical_slowness("svc") == pytest.approx(usual)
 
@@ -209,8 +209,8 @@
     speeds = Speeds()
     targets = fleet("a", "b")
     teach(speeds, targets, 100)
-    speeds.compare(0.0, [])
-    speeds.compare(20 * HALF_LIFE, [])
+    speeds.refresh(0.0, [])
+    speeds.refresh(20 * HALF_LIFE, [])
     assert ratio(speeds) == pytest.approx(1.0, abs=0.01)
 
 
@@ -219,7 +219,7 @@
     rng = Random(7)
     only = [t for t in targets if t.report and t.report.kind == kind]
     for second in range(seconds):
-        speeds.compare(float(second), targets)
+        speeds.refresh(float(second), targets)
         for each in only:
             speeds.compare_tasks(0.4, [(t, works(t, 0.4, rng)) for t in (each, each)])
 
@@ -251,7 +251,7 @@
     ours = target("b")
     assert len(speeds.merge(TOLD)) == 2
     assert ratio(speeds) == pytest.approx(RATIO, rel=0.03)
-    speeds.compare(0.0, [ours, target("a", "t1")])
+    speeds.refresh(0.0, [ours, target("a", "t1")])
     assert ours.slowness == speeds.factor("svc", "b")
 
 
@@ -318,7 +318,7 @@
 def test_a_word_on_a_kind_of_which_there_are_hosts_takes_the_place_of_nonsense() -> None:
     speeds = Speeds()
     speeds.merge(known_by({f"k{n}": 700 for n in range(MOST_KINDS)}))
-    speeds.compare(0.0, fleet("a", "b"))
+    speeds.refresh(0.0, fleet("a", "b"))
     assert len(speeds.merge(TOLD)) == 2
     assert len(speeds.snapshot()) == MOST_KINDS
 
@@ -336,11 +336,11 @@
     speeds = Speeds()
     targets = fleet("a", "b")
     speeds.merge(TOLD)
-    speeds.compare(0.0, targets)
+    speeds.refresh(0.0, targets)
     assert speeds.is_unproven("svc")
     teach(speeds, targets, 50)
     assert not speeds.is_unproven("svc")
-    speeds.compare(0.0, targets[:1])
+    speeds.refresh(0.0, targets[:1])
     assert not speeds.is_unproven("svc")
 
 
