--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, TaskRecord
 from paddleshunt_core.leased.placement import Placement
-from paddleshunt_core.leased.speeds import Speeds, work_of
+from paddleshunt_core.leased.speeds import Speeds, work_seconds
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.tasklengths import JobPrediction, TaskLengthModels
 from paddleshunt_core.leased.wire import Health
@@ -35,7 +35,7 @@
         if target.report is None or target.report.health is not Health.GOOD:
             return
         request = job.request
-        work = work_of(now - task.placed_at) / self._placement.away_factor(job, target)
+        work = work_seconds(now - task.placed_at) / self._placement.away_factor(job, target)
         task.work, task.ran_on = work, target.runner
         sound = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
         self._lengths.of(job.queue.name).ended(request.estimate, request.deadline, sound)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -377,7 +377,7 @@
     return product
 
 
-def work_of(took: float) -> float:
+def work_seconds(took: float) -> float:
     """Return how long a run worked that took so many seconds from its sending to its end."""
     return max(took / 2, took - OVERHEAD_SECONDS)
 
