--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -110,7 +110,7 @@
         return self.heartbeat / 2
 
     @property
-    def usual_echo(self) -> float:
+    def normal_echo_age(self) -> float:
         """Age in seconds that a peer's newest echo rarely exceeds while nothing holds it up."""
         return 2 * self.heartbeat
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -87,12 +87,12 @@
 class LinkPressure:
     """Tells the level from samples.
 
-    `usual_echo` is how old the peers' echoes are at most in seconds while nothing waits: a process
+    `normal_echo_age` is how old the peers' echoes are at most in seconds while nothing waits: a process
     may start while its link is pressed.
     """
 
-    def __init__(self, usual_echo: float = float("inf")) -> None:
-        self._usual_echo = usual_echo
+    def __init__(self, normal_echo_age: float = float("inf")) -> None:
+        self._usual_echo = normal_echo_age
         self.level = PressureLevel.NORMAL
         self.wait = 0.0
         """Seconds that bytes wait at the link now."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -128,7 +128,7 @@
             surroundings,
             self._connections,
             lambda: self._dispatcher.echo_age(self._now()),
-            self._times.usual_echo,
+            self._times.normal_echo_age,
         )
         self._loop: asyncio.AbstractEventLoop
         self._flushing = False
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -55,7 +55,7 @@
     """Watches the connections of one process.
 
     `connections` are those that stand; `echo` is told as in `LinkSample`, and is at most
-    `usual_echo` while nothing waits.
+    `normal_echo_age` while nothing waits.
     """
 
     def __init__(
@@ -63,9 +63,9 @@
         surroundings: Surroundings,
         connections: Callable[[], Iterable[Metered]],
         echo: Callable[[], float | None],
-        usual_echo: float = float("inf"),
+        normal_echo_age: float = float("inf"),
     ) -> None:
-        self.pressure = LinkPressure(usual_echo)
+        self.pressure = LinkPressure(normal_echo_age)
         self._around = surroundings
         self._connections = connections
         self._echo = echo
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -105,7 +105,7 @@
         self._worker = Worker(self._times, config.hall, config.bounds.cold_overrun)
         self._suspensions = clock.Suspensions()
         self._meter = LinkMeter(
-            surroundings, self._connections, self._echo_age, self._times.usual_echo
+            surroundings, self._connections, self._echo_age, self._times.normal_echo_age
         )
         self._links: dict[str, PeerLink] = {}
         self._names: dict[str, str] = {}
