--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -92,7 +92,7 @@
     """
 
     def __init__(self, normal_echo_age: float = float("inf")) -> None:
-        self._usual_echo = normal_echo_age
+        self._normal_echo_age = normal_echo_age
         self.level = PressureLevel.NORMAL
         self.wait = 0.0
         """Seconds that bytes wait at the link now."""
@@ -169,7 +169,7 @@
         """Return by how much echoes come later than the earliest seen lately."""
         if echo is None:
             return 0.0
-        usual = min(self._usual_echo, min(self._echoes, default=echo))
+        usual = min(self._normal_echo_age, min(self._echoes, default=echo))
         return max(0.0, echo - usual)
 
     def _count(self) -> None:
