--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -116,7 +116,7 @@
         """Whether new connections had better go to another host."""
         return now < self._pressed_at + READY_PAUSE
 
-    def sampled(self, now: float, sample: LinkSample) -> list[Log]:
+    def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
         """Take a sample; return the line that tells of a new level."""
         self._measure_rate(now, sample)
         self.wait = self._wait(sample)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -117,7 +117,7 @@
             active=len(held),
             echo=echo,
         )
-        for log in self.pressure.sampled(now, sample):
+        for log in self.pressure.add_sample(now, sample):
             self._around.log(log)
             self._around.measures.event(log.event)
 
--- a/testing/core/leased/test_linkpressure.py
+++ b/testing/core/leased/test_linkpressure.py
@@ -45,7 +45,7 @@
         """Take a sample as given."""
         largest = largest or unsent // max(1, holding)
         sample = LinkSample(unsent, largest, self.written, holding, self.connections, echo)
-        self.logs += self.pressure.sampled(self.now, sample)
+        self.logs += self.pressure.add_sample(self.now, sample)
         self.levels.append(self.pressure.level)
 
     @property
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -61,7 +61,7 @@
     def is_suspicious(self, echo: float | None) -> bool:
         return self.suspicious
 
-    def sampled(self, now: float, sample: LinkSample) -> list[Log]:
+    def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
         self.samples.append(sample)
         return []
 
@@ -282,7 +282,7 @@
     def turns_away(self, now: float) -> bool:
         return self.level is PressureLevel.PRESSED
 
-    def sampled(self, now: float, sample: LinkSample) -> list[Log]:
+    def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
         return []
 
 
