--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -108,7 +108,7 @@
         """The same for waits short enough to leave it."""
         self._echoes: deque[float] = deque(maxlen=ECHO_WINDOW)
 
-    def is_suspicious(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo: float | None) -> bool:
         """Whether a sample should be taken thoroughly: the level is raised, or echoes come late."""
         return self.level is not PressureLevel.NORMAL or self._lateness(echo) >= SHED_LEAVE
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -106,7 +106,7 @@
         """Take a sample, and log what follows from it."""
         echo = self._echo()
         held = self._held()
-        thorough = any(held.values()) or self.pressure.is_suspicious(echo)
+        thorough = any(held.values()) or self.pressure.needs_full_sample(echo)
         kernel = self._ask_kernel(held) if thorough and self._kernel_tells else _Kernel()
         largest = max(held.values(), default=0)
         sample = LinkSample(
--- a/testing/core/leased/test_linkpressure.py
+++ b/testing/core/leased/test_linkpressure.py
@@ -178,8 +178,8 @@
         link.now += STEP
         link.take(0, 0, 2.0)
     assert set(link.levels) == {NORMAL}
-    assert link.pressure.is_suspicious(2.0)
-    assert not link.pressure.is_suspicious(USUAL_ECHO + 0.01)
+    assert link.pressure.needs_full_sample(2.0)
+    assert not link.pressure.needs_full_sample(USUAL_ECHO + 0.01)
 
 
 def test_without_targets_the_bytes_alone_tell() -> None:
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -58,7 +58,7 @@
         self.samples: list[LinkSample] = []
         self.suspicious = suspicious
 
-    def is_suspicious(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo: float | None) -> bool:
         return self.suspicious
 
     def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
@@ -276,7 +276,7 @@
         self.level = PressureLevel.NORMAL
         self.wait = 0.0
 
-    def is_suspicious(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo: float | None) -> bool:
         return False
 
     def turns_away(self, now: float) -> bool:
