--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -112,7 +112,7 @@
         """Whether a sample should be taken thoroughly: the level is raised, or echoes come late."""
         return self.level is not PressureLevel.NORMAL or self._lateness(echo) >= SHED_LEAVE
 
-    def turns_away(self, now: float) -> bool:
+    def rejects_connections(self, now: float) -> bool:
         """Whether new connections had better go to another host."""
         return now < self._pressed_at + READY_PAUSE
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -431,7 +431,7 @@
         return [*self._links.values(), *self._peers.links(), *self._callers.open]
 
     def _is_turning_away(self, now: float) -> bool:
-        return self._meter.pressure.turns_away(now) and self._knows_another()
+        return self._meter.pressure.rejects_connections(now) and self._knows_another()
 
     def _knows_another(self) -> bool:
         """Whether another entry is alive that may take what this one turns away."""
--- a/testing/core/leased/test_linkpressure.py
+++ b/testing/core/leased/test_linkpressure.py
@@ -213,16 +213,16 @@
 def test_readiness_returns_a_while_after_the_pressure_and_not_before() -> None:
     link = Link()
     link.run(1.0, 200_000)
-    assert not link.pressure.turns_away(link.now)
+    assert not link.pressure.rejects_connections(link.now)
     link.queued = link.rate
     link.run(1.0, link.rate)
-    assert link.pressure.turns_away(link.now)
+    assert link.pressure.rejects_connections(link.now)
     link.queued = 0.0
     link.run(LEAST_STAY + 2 * STEP, 100_000)
     assert link.pressure.level is NORMAL
-    assert link.pressure.turns_away(link.now)
+    assert link.pressure.rejects_connections(link.now)
     link.run(READY_PAUSE, 100_000)
-    assert not link.pressure.turns_away(link.now)
+    assert not link.pressure.rejects_connections(link.now)
 
 
 def test_shedding_alone_turns_nobody_away() -> None:
@@ -231,4 +231,4 @@
     link.queued = 0.15 * link.rate
     link.run(1.0, link.rate)
     assert link.pressure.level is SHEDDING
-    assert not link.pressure.turns_away(link.now)
+    assert not link.pressure.rejects_connections(link.now)
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -279,7 +279,7 @@
     def needs_full_sample(self, echo: float | None) -> bool:
         return False
 
-    def turns_away(self, now: float) -> bool:
+    def rejects_connections(self, now: float) -> bool:
         return self.level is PressureLevel.PRESSED
 
     def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
