--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -96,7 +96,7 @@
     hold_max: float
 
     @property
-    def strayed(self) -> float:
+    def late_hold_max(self) -> float:
         """Longest lease in seconds that a runner takes by an order for its life before.
 
         That life's clock was ahead, so all that bounds it is `hold_max`, by a clock that may be
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
@@ -62,5 +62,5 @@
 
     def _can_have_none(self, met: float, now: float) -> bool:
         """Whether all leases are over that were granted before `met`, or by this life since."""
-        left_by_earlier = met + self._paused + self._times.strayed + self._times.overrun
+        left_by_earlier = met + self._paused + self._times.late_hold_max + self._times.overrun
         return now > left_by_earlier and self._lease.has_killed(now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
@@ -42,7 +42,7 @@
 
     def may_have_strayed(self, now: float) -> None:
         """Note that the runner's next life may by now have carried an order out for the last."""
-        self._end = max(self._end, now + self._times.strayed)
+        self._end = max(self._end, now + self._times.late_hold_max)
 
     def stood_still(self, seconds: float) -> None:
         """Note that the runner's clock may not have moved for so long, as its host was suspended.
--- a/testing/core/leased/test_foreignruns.py
+++ b/testing/core/leased/test_foreignruns.py
@@ -10,7 +10,7 @@
 TIMES = lease_times(Bounds())
 RUN = RunId(TaskId("job", 0, 0), 1)
 LISTED = [RunningRun(RUN, 5)]
-LONGEST = TIMES.strayed + TIMES.overrun
+LONGEST = TIMES.late_hold_max + TIMES.overrun
 """Seconds for which what an earlier life has ordered may be at work."""
 
 
