--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -115,7 +115,7 @@
         return 2 * self.heartbeat
 
     @property
-    def redial(self) -> float:
+    def reconnect_after(self) -> float:
         """Seconds of silence after which a target makes the connection of a session anew."""
         return self.session * REDIAL_SHARE
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -192,9 +192,9 @@
     def is_silent(self, now: float, times: LeaseTimes, *, held: bool) -> bool:
         """Whether the connection is to be made anew: a heartbeat got no answer for too long."""
         if held:
-            return now > self.heard + times.redial
+            return now > self.heard + times.reconnect_after
         answered = self.heard > self._beat - times.idle_reply
-        return not answered and now > self._beat + times.redial
+        return not answered and now > self._beat + times.reconnect_after
 
     def is_over(self, now: float, times: LeaseTimes, *, has_runs: bool) -> bool:
         """Whether the session can't go on: what runs in it has lost its lease, or it is silent."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -497,7 +497,7 @@
                 fallen_silent = True
             elif name in held and silent > MISSED_HEARTBEATS * self._times.heartbeat:
                 # The next tick may come too late for the session to go on.
-                due_in = self._times.redial - silent + TIMER_MARGIN
+                due_in = self._times.reconnect_after - silent + TIMER_MARGIN
                 self._loop.call_later(due_in, lambda: self._close_silent(self._now()))
         if fallen_silent:
             self._worker.probe()
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -71,7 +71,7 @@
         sessions = system.target.describe()["sessions"]
         silence.fall()
         times = lease_times(system.bounds)
-        await asyncio.sleep(times.idle_beat + times.redial + 2 * times.heartbeat)
+        await asyncio.sleep(times.idle_beat + times.reconnect_after + 2 * times.heartbeat)
         job = await asyncio.wait_for(system.submit(KEY, 100), 1.0)
         assert job.status == 200
         assert system.target.describe()["sessions"] == sessions
@@ -122,5 +122,5 @@
     assert worker.next_frame(1.3, "b", beat=True) is None
     worker.probe()
     assert worker.next_frame(1.3, "b", beat=True) is not None
-    assert not worker.is_silent(1.3 + times.redial - 0.01, "b")
-    assert worker.is_silent(1.3 + times.redial + 0.01, "b")
+    assert not worker.is_silent(1.3 + times.reconnect_after - 0.01, "b")
+    assert worker.is_silent(1.3 + times.reconnect_after + 0.01, "b")
