--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -120,7 +120,7 @@
         return self.session * REDIAL_SHARE
 
     @property
-    def idle_beat(self) -> float:
+    def idle_heartbeat(self) -> float:
         """Seconds between two heartbeats of a target in an idle session."""
         return max(IDLE_BEAT, IDLE_BEAT_SESSIONS * self.session)
 
@@ -135,7 +135,7 @@
     @property
     def idle_session(self) -> float:
         """Seconds of silence after which an idle session is over."""
-        return self.idle_beat + self.session
+        return self.idle_heartbeat + self.session
 
     @property
     def fresh(self) -> float:
@@ -145,7 +145,7 @@
     @property
     def idle_fresh(self) -> float:
         """The same for a target that has no work of the entry."""
-        return self.idle_beat + self.fresh
+        return self.idle_heartbeat + self.fresh
 
     @property
     def pending(self) -> float:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -148,14 +148,14 @@
         session = self.session
         if session is None:
             return None
-        pause = times.heartbeat if held else times.idle_beat - self._sooner
+        pause = times.heartbeat if held else times.idle_heartbeat - self._sooner
         due = beat and now > self._beat + pause - times.heartbeat / 2
         if not (due or self._asking or session.pending):
             return None
         # In an idle session only heartbeats are sure to be answered.
         if due or held:
             first = self._beat == float("-inf")
-            self._sooner = self.phase * times.idle_beat if first else 0.0
+            self._sooner = self.phase * times.idle_heartbeat if first else 0.0
             self._beat = now
         self._asking = False
         return session.frame(int(now * 1000))
--- a/testing/core/leased/test_answers.py
+++ b/testing/core/leased/test_answers.py
@@ -130,7 +130,7 @@
     fleet.run(1.0)
     before = fleet.frames
     fleet.run(10.0)
-    beats = 10.0 / fleet.times.idle_beat
+    beats = 10.0 / fleet.times.idle_heartbeat
     assert fleet.frames - before <= 1.2 * 2 * beats * 16
     assert fleet.ends("session_ended") == []
 
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -129,7 +129,7 @@
 
 
 def test_heartbeats_are_many_only_while_the_session_is_held(worker: Worker) -> None:
-    assert beats(worker, 1.2, 4.0) <= 4.0 / TIMES.idle_beat + 1
+    assert beats(worker, 1.2, 4.0) <= 4.0 / TIMES.idle_heartbeat + 1
     worker.heard(5.2, "e", frame(1, 5.2, ASSIGN))
     worker.start_answered(5.201, RUN, StartAnswer.STARTED)
     assert beats(worker, 5.3, 4.0) >= 4.0 / TIMES.heartbeat - 1
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -71,7 +71,7 @@
         sessions = system.target.describe()["sessions"]
         silence.fall()
         times = lease_times(system.bounds)
-        await asyncio.sleep(times.idle_beat + times.reconnect_after + 2 * times.heartbeat)
+        await asyncio.sleep(times.idle_heartbeat + times.reconnect_after + 2 * times.heartbeat)
         job = await asyncio.wait_for(system.submit(KEY, 100), 1.0)
         assert job.status == 200
         assert system.target.describe()["sessions"] == sessions
