--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -105,7 +105,7 @@
         return self.hold_max + (self.hold_max - self.hold) * CLOCK_DRIFT
 
     @property
-    def reply_pause(self) -> float:
+    def min_reply_interval(self) -> float:
         """Shortest time between two frames of an entry that only answer a heartbeat."""
         return self.heartbeat / 2
 
