--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -125,7 +125,7 @@
         return max(IDLE_BEAT, IDLE_BEAT_SESSIONS * self.session)
 
     @property
-    def idle_reply(self) -> float:
+    def min_idle_reply_interval(self) -> float:
         """Shortest time between two frames of an entry that only answer reports of an idle target.
 
         A run that is still being stopped there keeps its session's lease by them.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -365,7 +365,7 @@
             return False
         reports = all(isinstance(body, RunnerReport) for body in frame.bodies)
         calm = not target.placed and bool(frame.bodies) and reports
-        pause = self._times.idle_reply if calm else self._times.min_reply_interval
+        pause = self._times.min_idle_reply_interval if calm else self._times.min_reply_interval
         return now > target.session.renewed_ms / 1000 + pause
 
     def answer_due(self) -> float | None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -193,7 +193,7 @@
         """Whether the connection is to be made anew: a heartbeat got no answer for too long."""
         if held:
             return now > self.heard + times.reconnect_after
-        answered = self.heard > self._beat - times.idle_reply
+        answered = self.heard > self._beat - times.min_idle_reply_interval
         return not answered and now > self._beat + times.reconnect_after
 
     def is_over(self, now: float, times: LeaseTimes, *, has_runs: bool) -> bool:
