--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -138,14 +138,14 @@
         return self.idle_heartbeat + self.session
 
     @property
-    def fresh(self) -> float:
+    def max_silence(self) -> float:
         """Seconds since its last word for which a target that has work is given more."""
         return self.heartbeat * FRESH_HEARTBEATS
 
     @property
     def idle_fresh(self) -> float:
         """The same for a target that has no work of the entry."""
-        return self.idle_heartbeat + self.fresh
+        return self.idle_heartbeat + self.max_silence
 
     @property
     def pending(self) -> float:
--- a/testing/core/leased/test_targetsnapshot.py
+++ b/testing/core/leased/test_targetsnapshot.py
@@ -31,7 +31,9 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "silence"), [(True, TIMES.fresh), (False, TIMES.idle_fresh)], ids=["held", "idle"]
+    ("held", "silence"),
+    [(True, TIMES.max_silence), (False, TIMES.idle_fresh)],
+    ids=["held", "idle"],
 )
 def test_a_silent_target_is_known_but_has_no_room(*, held: bool, silence: float) -> None:
     silent = target("t1", SIZE)
