--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -143,7 +143,7 @@
         return self.heartbeat * FRESH_HEARTBEATS
 
     @property
-    def idle_fresh(self) -> float:
+    def max_idle_silence(self) -> float:
         """The same for a target that has no work of the entry."""
         return self.idle_heartbeat + self.max_silence
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -135,7 +135,7 @@
         if self.asked is not None:
             return True
         silence = now - max(self.heard, self.held_since)
-        return silence <= (times.max_silence if self.placed else times.idle_fresh)
+        return silence <= (times.max_silence if self.placed else times.max_idle_silence)
 
     def is_silent(self, now: float, times: LeaseTimes) -> bool:
         """Whether it has said nothing for so long that its session is over."""
--- a/testing/core/leased/test_targetsnapshot.py
+++ b/testing/core/leased/test_targetsnapshot.py
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize(
     ("held", "silence"),
-    [(True, TIMES.max_silence), (False, TIMES.idle_fresh)],
+    [(True, TIMES.max_silence), (False, TIMES.max_idle_silence)],
     ids=["held", "idle"],
 )
 def test_a_silent_target_is_known_but_has_no_room(*, held: bool, silence: float) -> None:
