--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -148,7 +148,7 @@
         return self.idle_heartbeat + self.max_silence
 
     @property
-    def pending(self) -> float:
+    def confirm_timeout(self) -> float:
         """Seconds for which a target keeps an assignment that no echo has confirmed yet."""
         return self.session / 2
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -118,7 +118,7 @@
     def assign(self, now: float, times: LeaseTimes, runs: list[Run]) -> list[Run]:
         """Keep runs that are to start; return those that are too many."""
         room = MAX_PENDING - len(self.pending)
-        until = now + times.pending
+        until = now + times.confirm_timeout
         self.pending += [(run, min(until, run.expires)) for run in runs[:room]]
         self._asking = True
         return runs[room:]
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -94,9 +94,9 @@
 
 def test_what_is_not_confirmed_in_time_is_given_back(worker: Worker) -> None:
     worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))
-    worker.tick(2.0 + TIMES.pending - 0.01)
+    worker.tick(2.0 + TIMES.confirm_timeout - 0.01)
     assert not [body for body in told(worker, 2.2) if isinstance(body, Ended)]
-    worker.tick(2.0 + TIMES.pending + 0.01)
+    worker.tick(2.0 + TIMES.confirm_timeout + 0.01)
     ends = [body for body in told(worker, 2.3) if isinstance(body, Ended)]
     assert ends == [Ended([(RUN, End.NOT_STARTED)])]
 
