--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -158,7 +158,7 @@
         return self.session * (1 + CLOCK_DRIFT) + CLOCK_MARGIN
 
     @property
-    def check(self) -> float:
+    def check_interval(self) -> float:
         """Seconds between two looks of an entry at what time has decided."""
         return self.session / CHECKS_A_SESSION
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -470,7 +470,7 @@
                 self._place_soon()
             self._close_silent()
             now = self._now()
-            due = max(due + self._times.check, now)
+            due = max(due + self._times.check_interval, now)
             await asyncio.sleep(due - now)
 
     def _close_silent(self) -> None:
