--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -168,14 +168,14 @@
         return self.hold * CLOCK_DRIFT + self.stop
 
     @property
-    def run_end(self) -> float:
+    def run_expiry(self) -> float:
         """Seconds from a runner's last renewal until nothing can run there any more."""
         return self.hold + self.overrun
 
     @property
     def session_end(self) -> float:
         """Seconds from an entry's last sign of life until nothing of it can run any more."""
-        return self.session + self.run_end
+        return self.session + self.run_expiry
 
 
 def lease_times(bounds: Bounds) -> LeaseTimes:
--- a/testing/core/leased/test_leases.py
+++ b/testing/core/leased/test_leases.py
@@ -75,9 +75,9 @@
     worker.start_answered(1.01, run("one"), StartAnswer.STARTED)
     say(worker, "a", 1.4, 2, assign("two"))
     worker.start_answered(1.45, run("two"), StartAnswer.UNKNOWN)
-    lost = worker.look_failed(1.02 + TIMES.run_end)
+    lost = worker.look_failed(1.02 + TIMES.run_expiry)
     assert "run_lapsed" not in [e.event for e in lost if isinstance(e, Log)]
-    lost = worker.look_failed(1.42 + TIMES.run_end)
+    lost = worker.look_failed(1.42 + TIMES.run_expiry)
     assert [e.event for e in lost if isinstance(e, Log)].count("run_lapsed") == 2
 
 
@@ -165,7 +165,7 @@
     worker.start_answered(1.101, run("job"), StartAnswer.STARTED)
     if suspended:
         worker.suspended(suspended)
-    last = 1.1 + suspended + TIMES.run_end
+    last = 1.1 + suspended + TIMES.run_expiry
     worker.look_failed(last - 0.01)
     assert worker.runs == 1
     worker.look_failed(last + 0.01)
--- a/testing/core/leased/test_sight.py
+++ b/testing/core/leased/test_sight.py
@@ -85,6 +85,6 @@
     worker.start_answered(1.102, RUN, StartAnswer.STARTED)
     worker.next_look(1.12)
     worker.look_failed(1.13)
-    over = 1.12 + TIMES.run_end + 0.01
+    over = 1.12 + TIMES.run_expiry + 0.01
     (line,) = lines(worker.look_failed(over), "runner_lost")
     assert line == {"runner": "i-1", "how": "silent", "runs": 1, "worked_ms": "job.0.0#1:30"}
