--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -173,7 +173,7 @@
         return self.hold + self.overrun
 
     @property
-    def session_end(self) -> float:
+    def session_expiry(self) -> float:
         """Seconds from an entry's last sign of life until nothing of it can run any more."""
         return self.session + self.run_expiry
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -544,7 +544,7 @@
     def _end_session(self, now: float, target: TargetRecord) -> list[Effect]:
         """Give a silent target up; what it has can't be placed again before the leases are over."""
         assert target.session is not None  # noqa: S101
-        target.lost_at = target.session.renewed_ms / 1000 + self._times.session_end
+        target.lost_at = target.session.renewed_ms / 1000 + self._times.session_expiry
         target.session = None
         target.reset()
         target.held |= target.placed
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -124,7 +124,7 @@
     caller = fleet.submit("e0", "job", length=6.0, deadline=20.0)
     fleet.run(0.3)
     fleet.freeze("e0")
-    fleet.run(fleet.times.session_end + 0.2)
+    fleet.run(fleet.times.session_expiry + 0.2)
     again = fleet.submit("e1", "job", length=0.5)
     fleet.run(0.2)
     fleet.thaw("e0")
@@ -138,7 +138,7 @@
     other = fleet.submit("e0", "two", length=6.0, deadline=20.0)
     fleet.run(0.3)
     fleet.freeze("e0")
-    fleet.run(fleet.times.session_end + 0.2)
+    fleet.run(fleet.times.session_expiry + 0.2)
     fleet.thaw("e0")
     fleet.leave("e0", leaving)
     assert fleet.answers[other] == GivenUp("stood_still")
@@ -160,7 +160,7 @@
         fleet.cut("e0", "t0")
     if way != "to_target":
         fleet.cut("t0", "e0")
-    fleet.run(2 * fleet.times.session_end + 2.0)
+    fleet.run(2 * fleet.times.session_expiry + 2.0)
     assert fleet.answers[caller] == Completed()
     fleet.heal()
     fleet.run(1.0)
@@ -173,7 +173,7 @@
     caller = fleet.submit("e0", "job", count=3, length=1.0, deadline=20.0)
     fleet.run(0.2)
     fleet.freeze("t0")
-    fleet.run(fleet.times.session_end + 0.3)
+    fleet.run(fleet.times.session_expiry + 0.3)
     fleet.thaw("t0")
     fleet.run(3.0)
     assert fleet.answers[caller] == Completed()
@@ -185,7 +185,7 @@
     fleet.kill("t0")
     fleet.run(0.4)
     fleet.start("t0")
-    fleet.run(3.0 + fleet.times.session_end)
+    fleet.run(3.0 + fleet.times.session_expiry)
     assert fleet.answers[caller] == Completed()
 
 
@@ -193,7 +193,7 @@
     caller = fleet.submit("e0", "job", count=3, length=0.8, deadline=20.0)
     fleet.run(0.2)
     fleet.runners["t0"].crash()
-    fleet.run(2.0 + fleet.times.session_end)
+    fleet.run(2.0 + fleet.times.session_expiry)
     assert fleet.answers[caller] == Completed()
 
 
--- a/testing/council/test_standstill.py
+++ b/testing/council/test_standstill.py
@@ -54,7 +54,7 @@
     ports: list[StillOnce] = []
 
     def still(port: RunnerPort) -> RunnerPort:
-        ports.append(StillOnce(port, TIMES.session_end + 0.1))
+        ports.append(StillOnce(port, TIMES.session_expiry + 0.1))
         return ports[0]
 
     async def scene(system: System) -> None:
