--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -181,7 +181,7 @@
         """Whether what has no place on its `targets` may go to any usable one."""
         return not self.is_confined(job.queue) and not self._has_met(job)
 
-    def rivals(self, job: JobRecord, held: Iterable[JobRecord]) -> Iterable[JobRecord]:
+    def competing_jobs(self, job: JobRecord, held: Iterable[JobRecord]) -> Iterable[JobRecord]:
         """Return those of the held jobs that wait for the same targets."""
         if not self._confined:
             return held
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -641,8 +641,8 @@
         return [t for t in self._targets.values() if not self._evacuations.covers(t.hall)]
 
     def _wait(self, job: JobRecord, room: TargetSnapshot) -> float:
-        rivals = self._containment.rivals(job, self._jobs.all())
-        return expected_wait(job, self._usable(job, room), rivals)
+        competing_jobs = self._containment.competing_jobs(job, self._jobs.all())
+        return expected_wait(job, self._usable(job, room), competing_jobs)
 
     def _usable(self, job: JobRecord, room: TargetSnapshot) -> list[TargetRecord]:
         return self._containment.targets(job, room.usable(job.queue.service))
