--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -38,7 +38,7 @@
             if self._may_place(now, job, room):
                 targets = self._containment.targets(job, room.usable(service))
                 logs += self._place_job(now, job, targets)
-                if job.waiting() and self._containment.may_go_elsewhere(job):
+                if job.waiting() and self._containment.may_use_other_targets(job):
                     logs += self._place_job(now, job, room.usable(service))
             # A confined job is no head: most targets that were told would offer room in vain.
             confined = self._containment.is_confined(job.queue)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -177,7 +177,7 @@
         rest = [target for target in usable if target.name not in walled]
         return rest if any(_has_room(job, target) for target in rest) else usable
 
-    def may_go_elsewhere(self, job: JobRecord) -> bool:
+    def may_use_other_targets(self, job: JobRecord) -> bool:
         """Whether what has no place on its `targets` may go to any usable one."""
         return not self.is_confined(job.queue) and not self._has_met(job)
 
