--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -106,7 +106,7 @@
         return len(self._confined)
 
     @property
-    def is_waiting(self) -> bool:
+    def depends_on_time(self) -> bool:
         """Whether the passing of time may change something."""
         return bool(self._confined) or self._suspicions.ripens
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -402,7 +402,7 @@
         for target in list(self._targets.values()):
             effects += self._check_target(now, target)
         self._speeds.tick(now, self._targets.values())
-        if self._containment.is_waiting:
+        if self._containment.depends_on_time:
             effects += self._containment.follow(now, self._open_targets(), self._room(now))
         effects += self._place(now)
         room = self._room(now) if self.confined_queues else None
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -135,7 +135,7 @@
         judge.returned(0.6, runner)
     judge.silent(1.0, "r0", a=("bad", 10))
     judge.silent(1.9, "r1", a=("bad", 10))
-    assert judge.containment.is_waiting
+    assert judge.containment.depends_on_time
     late = 1.9 + RETURN_WAIT_LEASES * TIMES.hold
     assert judge.follow(late - 0.01) == []
     assert events(judge.follow(late + 0.01)) == ["queue_confined"]
