--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -125,7 +125,7 @@
 
     # What is learned.
 
-    def serves(self, now: float, queue: Queue, targets: Targets) -> list[Log]:
+    def set_service(self, now: float, queue: Queue, targets: Targets) -> list[Log]:
         """Note which service runs a queue's tasks; what was lost before may say something then."""
         known = self._services.get(queue.name)
         self._services[queue.name] = queue.service
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -193,7 +193,7 @@
             why = self._retries.note_given_up(job, given_up)
             return [*effects, why, AnswerJob(caller, request.key, given_up, 0.0)]
         room = self._room(now)
-        effects += self._containment.serves(now, queue, self._open_targets)
+        effects += self._containment.set_service(now, queue, self._open_targets)
         confined = self._containment.refuses(job, room)
         if confined is not None:
             refused_confined = Refused("confined", max(RETRY_SECONDS, confined))
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -38,7 +38,7 @@
         self.since: dict[str, int] = {}
         for name in ("bad", "sound"):
             queue = Queue(name, "host", f"/{name}/", "svc")
-            self.containment.serves(0.0, queue, lambda: self.targets)
+            self.containment.set_service(0.0, queue, lambda: self.targets)
 
     def silent(self, at: float, runner: str, **work: tuple[str, int]) -> list[Log]:
         """Tell of a runner's silence; `work`: the queue and milliseconds of each job's one task."""
