--- a/benchmarks/containment.py
+++ b/benchmarks/containment.py
@@ -97,7 +97,7 @@
 class Tries(Way):
     """A job of a confined queue that met a lost runner is tried again like others."""
 
-    def holds(self, job: JobRecord) -> bool:
+    def must_wait(self, job: JobRecord) -> bool:
         """Hold nothing."""
         return False
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -48,7 +48,9 @@
 
     def _may_place(self, now: float, job: JobRecord, room: TargetSnapshot) -> bool:
         """Whether it is worth looking for targets for a job now."""
-        if not room.may_fit(job.queue.service, job.request.need) or self._containment.holds(job):
+        if not room.may_fit(job.queue.service, job.request.need) or self._containment.must_wait(
+            job
+        ):
             return False
         confined = self._containment.is_confined(job.queue)
         return confined or not self._placement.awaits_kind(now, job, room)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -189,7 +189,7 @@
             return [other for other in held if other.queue.name == job.queue.name]
         return [other for other in held if other.queue.name not in self._confined]
 
-    def holds(self, job: JobRecord) -> bool:
+    def must_wait(self, job: JobRecord) -> bool:
         """Whether a job is to wait: its queue has the fewest targets, and it met a lost runner.
 
         The one that took the runner down is among these, and would cost another.
