--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -199,7 +199,7 @@
             return False
         return self._has_met(job)
 
-    def refuses(self, job: JobRecord, room: TargetSnapshot) -> float | None:
+    def refusal_delay(self, job: JobRecord, room: TargetSnapshot) -> float | None:
         """Return after how many seconds a job is to be asked for again that has no target now."""
         confined = self._confined.get(job.queue.name)
         if confined is None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -194,7 +194,7 @@
             return [*effects, why, AnswerJob(caller, request.key, given_up, 0.0)]
         room = self._room(now)
         effects += self._containment.set_service(now, queue, self._open_targets)
-        confined = self._containment.refuses(job, room)
+        confined = self._containment.refusal_delay(job, room)
         if confined is not None:
             refused_confined = Refused("confined", max(RETRY_SECONDS, confined))
             return [*effects, self._refuse(caller, request, refused_confined)]
@@ -446,7 +446,7 @@
             why = room_note(now, job, wait, room)
             return [why, self._give_up(now, job, "no_room", max(RETRY_SECONDS, wait))]
         if not job.begun and confined_room is not None:
-            confined = self._containment.refuses(job, confined_room)
+            confined = self._containment.refusal_delay(job, confined_room)
             if confined is not None:
                 return [self._give_up(now, job, "confined", max(RETRY_SECONDS, confined))]
         return []
