--- a/benchmarks/containment.py
+++ b/benchmarks/containment.py
@@ -67,19 +67,19 @@
 class Alone(Way):
     """A confined queue's jobs start on idle targets only, and may do so on any."""
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return the idle targets."""
         if self.is_confined(job.queue):
             return [target for target in usable if target.load == 0.0]
-        return super().targets(job, usable)
+        return super().allowed_targets(job, usable)
 
 
 class NotAtAll(Way):
     """The other queues never use a bulkhead."""
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return the targets beside all bulkheads."""
-        found = super().targets(job, usable)
+        found = super().allowed_targets(job, usable)
         if self.is_confined(job.queue):
             return found
         walled = {name for c in self._confined.values() for name in c.bulkhead.members}
@@ -89,9 +89,9 @@
 class Refuse(Way):
     """A confined queue is refused until its time is over."""
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return no target."""
-        return [] if self.is_confined(job.queue) else super().targets(job, usable)
+        return [] if self.is_confined(job.queue) else super().allowed_targets(job, usable)
 
 
 class Tries(Way):
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -36,7 +36,7 @@
         for job in waiting:
             service = job.queue.service
             if self._may_place(now, job, room):
-                targets = self._containment.targets(job, room.usable(service))
+                targets = self._containment.allowed_targets(job, room.usable(service))
                 logs += self._place_job(now, job, targets)
                 if job.waiting() and self._containment.may_use_other_targets(job):
                     logs += self._place_job(now, job, room.usable(service))
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -159,7 +159,7 @@
         """Whether a queue is confined."""
         return queue.name in self._confined
 
-    def targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+    def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
         """Return those of the usable targets that a job may have tasks on.
 
         A queue that is not confined uses the others' bulkheads if there is no room elsewhere. Its
@@ -204,7 +204,7 @@
         confined = self._confined.get(job.queue.name)
         if confined is None:
             return None
-        if any(_can_run(job, t) for t in self.targets(job, room.usable(job.queue.service))):
+        if any(_can_run(job, t) for t in self.allowed_targets(job, room.usable(job.queue.service))):
             return None
         return min(LONGEST_RETRY_SECONDS, confined.free_after())
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -645,7 +645,7 @@
         return expected_wait(job, self._usable(job, room), competing_jobs)
 
     def _usable(self, job: JobRecord, room: TargetSnapshot) -> list[TargetRecord]:
-        return self._containment.targets(job, room.usable(job.queue.service))
+        return self._containment.allowed_targets(job, room.usable(job.queue.service))
 
     def _place(self, now: float, room: TargetSnapshot | None = None) -> list[Effect]:
         jobs = [job for job in self._jobs.all() if job.is_awaited]
