--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -77,7 +77,7 @@
         if not self._newer():
             self._ask_at = None
 
-    def told(self, now: float, peer: str, version: int) -> None:
+    def on_version(self, now: float, peer: str, version: int) -> None:
         """Take a peer's word on the version in force there."""
         self._versions[peer] = version
         if version >= self._version and peer in self._waiting:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -246,7 +246,7 @@
             self._askers[link.peer] = link
             self._spread.asked(link.peer, told.version)
         else:
-            self._spread.told(clock.now(), link.peer, told.version)
+            self._spread.on_version(clock.now(), link.peer, told.version)
         self._spread_when_due()
 
     def _unpack(self, link: PeerLink, packed: PackedCatalog) -> None:
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -82,7 +82,7 @@
                 entry.copies += 1
                 self._adopt(name)
             case ("told", str(peer), int(version)):
-                entry.spread.told(self.now, peer, version)
+                entry.spread.on_version(self.now, peer, version)
             case ("asked", str(peer), int(version)):
                 entry.spread.asked(peer, version)
 
@@ -170,7 +170,7 @@
     spread.adopted(1)
     asked = []
     for now in (tick / 64 for tick in range(20 * 64)):
-        spread.told(now, "e1", 2)
+        spread.on_version(now, "e1", 2)
         asked += [now for step in spread.act(now) if isinstance(step, RequestCatalog)]
     gaps = [later - sooner for sooner, later in pairwise(asked)]
     expected = [min(MAX_ANSWER_SECONDS, ANSWER_SECONDS * 2**n) for n in range(len(gaps))]
@@ -184,7 +184,7 @@
     spread.asked("e2", 1)
     assert spread.act(0.0) == [SendCatalog("e1")]
     spread.handed_out(0.0, SIZE)
-    spread.told(0.1, "e2", 2)
+    spread.on_version(0.1, "e2", 2)
     assert spread.act(9.0) == []
     assert spread.due() is None
 
@@ -200,7 +200,7 @@
 def test_an_older_version_is_neither_asked_for_nor_asked_of() -> None:
     spread = CatalogSync(Random(1))
     spread.adopted(2)
-    spread.told(0.0, "e1", 1)
+    spread.on_version(0.0, "e1", 1)
     assert spread.due() is None
     spread.asked("e2", 3)
     assert spread.act(5.0) == []
@@ -209,7 +209,7 @@
 def test_an_entry_that_has_left_is_asked_no_more() -> None:
     spread = CatalogSync(Random(1))
     spread.adopted(1)
-    spread.told(0.0, "e1", 2)
+    spread.on_version(0.0, "e1", 2)
     spread.left("e1")
     assert spread.act(1.0) == []
     assert spread.due() is None
