--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -85,7 +85,7 @@
         if version > self._version and self._ask_at is None:
             self._ask_at = now + self._rng.uniform(*ASK_SECONDS)
 
-    def asked(self, peer: str, version: int) -> None:
+    def on_request(self, peer: str, version: int) -> None:
         """Take the question of a peer that has an older version for the one in force here."""
         self._versions[peer] = version
         if version < self._version and peer not in self._waiting:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -244,7 +244,7 @@
     def _take_version(self, link: PeerLink, told: CatalogVersion) -> None:
         if told.wanted:
             self._askers[link.peer] = link
-            self._spread.asked(link.peer, told.version)
+            self._spread.on_request(link.peer, told.version)
         else:
             self._spread.on_version(clock.now(), link.peer, told.version)
         self._spread_when_due()
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -84,7 +84,7 @@
             case ("told", str(peer), int(version)):
                 entry.spread.on_version(self.now, peer, version)
             case ("asked", str(peer), int(version)):
-                entry.spread.asked(peer, version)
+                entry.spread.on_request(peer, version)
 
     def _adopt(self, name: str) -> None:
         entry = self.entries[name]
@@ -180,8 +180,8 @@
 def test_an_entry_that_got_a_copy_elsewhere_is_not_sent_another() -> None:
     spread = CatalogSync(Random(1))
     spread.adopted(2)
-    spread.asked("e1", 1)
-    spread.asked("e2", 1)
+    spread.on_request("e1", 1)
+    spread.on_request("e2", 1)
     assert spread.act(0.0) == [SendCatalog("e1")]
     spread.handed_out(0.0, SIZE)
     spread.on_version(0.1, "e2", 2)
@@ -192,7 +192,7 @@
 def test_no_copy_leaves_while_the_own_link_is_pressed() -> None:
     spread = CatalogSync(Random(1))
     spread.adopted(2)
-    spread.asked("e1", 1)
+    spread.on_request("e1", 1)
     assert spread.act(0.0, may_send=False) == []
     assert spread.act(0.1) == [SendCatalog("e1")]
 
@@ -202,7 +202,7 @@
     spread.adopted(2)
     spread.on_version(0.0, "e1", 1)
     assert spread.due() is None
-    spread.asked("e2", 3)
+    spread.on_request("e2", 3)
     assert spread.act(5.0) == []
 
 
