--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -95,7 +95,7 @@
         """Note that a copy of `size` bytes was sent."""
         self._free_at = now + size / self._rate
 
-    def left(self, peer: str) -> None:
+    def peer_left(self, peer: str) -> None:
         """Forget a peer whose connection has ended."""
         self._versions.pop(peer, None)
         if peer in self._waiting:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -355,7 +355,7 @@
 
     def closed(self, link: PeerLink) -> None:
         """Make another connection."""
-        self._spread.left(link.peer)
+        self._spread.peer_left(link.peer)
         self._askers.pop(link.peer, None)
         self._dialer.lost(link)
 
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -210,6 +210,6 @@
     spread = CatalogSync(Random(1))
     spread.adopted(1)
     spread.on_version(0.0, "e1", 2)
-    spread.left("e1")
+    spread.peer_left("e1")
     assert spread.act(1.0) == []
     assert spread.due() is None
