--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -69,7 +69,7 @@
         self._free_at = 0.0
         """When the copies that were sent have passed the link's share."""
 
-    def adopted(self, version: int) -> None:
+    def set_version(self, version: int) -> None:
         """Note that a version is in force here."""
         self._version = version
         self._asked.clear()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -180,7 +180,7 @@
 
     def tell_catalog(self, catalog: Catalog) -> None:
         """Tell all which version is in force now; who can't get it elsewhere asks for it."""
-        self._spread.adopted(catalog.version)
+        self._spread.set_version(catalog.version)
         self._send_all(CatalogVersion(catalog.version))
 
     def tell_evacuations(self, evacuated: EvacuatedHalls) -> None:
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -54,7 +54,7 @@
         self._events: list[tuple[float, int, str, object]] = []
         self._numbers = iter(range(10**9))
         for name, entry in self.entries.items():
-            entry.spread.adopted(1)
+            entry.spread.set_version(1)
             self.at(self.rng.uniform(0, GOSSIP), name, "gossip")
 
     def at(self, when: float, name: str, event: object) -> None:
@@ -91,7 +91,7 @@
         if entry.has < 2:
             entry.has = 2
             entry.adopted_at = self.now
-            entry.spread.adopted(2)
+            entry.spread.set_version(2)
             self._tell_all(name)
 
     def _tell_all(self, name: str) -> None:
@@ -167,7 +167,7 @@
 
 def test_questions_that_get_no_answer_become_rarer() -> None:
     spread = CatalogSync(Random(1))
-    spread.adopted(1)
+    spread.set_version(1)
     asked = []
     for now in (tick / 64 for tick in range(20 * 64)):
         spread.on_version(now, "e1", 2)
@@ -179,7 +179,7 @@
 
 def test_an_entry_that_got_a_copy_elsewhere_is_not_sent_another() -> None:
     spread = CatalogSync(Random(1))
-    spread.adopted(2)
+    spread.set_version(2)
     spread.on_request("e1", 1)
     spread.on_request("e2", 1)
     assert spread.act(0.0) == [SendCatalog("e1")]
@@ -191,7 +191,7 @@
 
 def test_no_copy_leaves_while_the_own_link_is_pressed() -> None:
     spread = CatalogSync(Random(1))
-    spread.adopted(2)
+    spread.set_version(2)
     spread.on_request("e1", 1)
     assert spread.act(0.0, may_send=False) == []
     assert spread.act(0.1) == [SendCatalog("e1")]
@@ -199,7 +199,7 @@
 
 def test_an_older_version_is_neither_asked_for_nor_asked_of() -> None:
     spread = CatalogSync(Random(1))
-    spread.adopted(2)
+    spread.set_version(2)
     spread.on_version(0.0, "e1", 1)
     assert spread.due() is None
     spread.on_request("e2", 3)
@@ -208,7 +208,7 @@
 
 def test_an_entry_that_has_left_is_asked_no_more() -> None:
     spread = CatalogSync(Random(1))
-    spread.adopted(1)
+    spread.set_version(1)
     spread.on_version(0.0, "e1", 2)
     spread.peer_left("e1")
     assert spread.act(1.0) == []
