--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -184,7 +184,7 @@
             return [*effects, self._hand_over(now, caller, held)]
         if self.turned_away is not None:
             return [*effects, self._refuse(caller, request, self.turned_away)]
-        expected = self._estimator.expect(queue, request)
+        expected = self._estimator.predict(queue, request)
         job = new_job(caller, request, queue, now, expected)
         job.place_from = now + self._caller_delay
         job.is_awaited = self._caller_delay == 0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -21,9 +21,9 @@
         self._speeds = speeds
         self._lengths = TaskLengthModels()
 
-    def expect(self, queue: Queue, request: JobRequest) -> JobPrediction:
+    def predict(self, queue: Queue, request: JobRequest) -> JobPrediction:
         """Return how long a task of a job is expected to take, and how old the job seems."""
-        return self._lengths.of(queue.name).expect(request.estimate, request.deadline)
+        return self._lengths.of(queue.name).predict(request.estimate, request.deadline)
 
     def ended(self, now: float, job: JobRecord, task: TaskRecord, target: TargetRecord) -> None:
         """Learn from a task that has ended well how long its queue's tasks take.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -67,7 +67,7 @@
             self._products[i] = MEMORY * self._products[i] + row[i] * ratio
         self._stale = True
 
-    def expect(self, estimate: float, deadline: float) -> JobPrediction:
+    def predict(self, estimate: float, deadline: float) -> JobPrediction:
         """Return the length and age of a job with these figures."""
         offset, slope, patience = self._fitted()
         length = offset + slope * estimate + patience * deadline
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -88,7 +88,7 @@
     for number in range(1250):
         length = rng.uniform(0.2, 0.6)
         estimate = length * guess(rng)
-        expected = lengths.expect(estimate, 3.0).length
+        expected = lengths.predict(estimate, 3.0).length
         where = rng.choices(targets, k=4)
         if sorted_by_length and number > 50 and rng.random() < 0.9:
             kind = "b" if expected < 0.4 else "a"
@@ -115,7 +115,7 @@
         length = rng.uniform(0.2, 0.6)
         estimate = length * rng.uniform(1 / 1.5, 1.5)
         speeds.refresh(0.02 * number, targets)
-        expected = lengths.expect(estimate, 3.0).length
+        expected = lengths.predict(estimate, 3.0).length
         where = rng.choices(targets, k=rng.choice(widths))
         done = [(t, works(t, length, rng)) for t in where]
         for each, work in done:
--- a/testing/core/leased/test_tasklengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -23,27 +23,27 @@
 
 
 def test_an_estimate_is_believed_until_ends_were_seen() -> None:
-    assert TaskLengthModel().expect(0.4, 3.0) == JobPrediction(0.4)
+    assert TaskLengthModel().predict(0.4, 3.0) == JobPrediction(0.4)
 
 
 def test_one_end_does_not_outweigh_the_estimate_wholly() -> None:
     lengths = TaskLengthModel()
     lengths.ended(0.4, 3.0, 0.6)
-    assert 0.4 < lengths.expect(0.4, 3.0).length < 0.59
+    assert 0.4 < lengths.predict(0.4, 3.0).length < 0.59
 
 
 @pytest.mark.parametrize("length", [0.15, 0.3, 0.6])
 def test_a_deadline_that_follows_the_length_corrects_a_wrong_estimate(length: float) -> None:
     lengths = taught(100)
     for estimate in (0.7 * length, 1.4 * length):
-        expected = lengths.expect(estimate, 2 + 5 * length)
+        expected = lengths.predict(estimate, 2 + 5 * length)
         assert expected.length == pytest.approx(length, rel=0.2)
 
 
 def test_a_deadline_that_tells_nothing_counts_for_nothing() -> None:
     lengths = taught(200, patience=0.0)
-    assert lengths.expect(0.4, 2.0).length == pytest.approx(
-        lengths.expect(0.4, 2.2).length, rel=0.1
+    assert lengths.predict(0.4, 2.0).length == pytest.approx(
+        lengths.predict(0.4, 2.2).length, rel=0.1
     )
 
 
@@ -52,30 +52,30 @@
     for number in range(50):
         estimate = 0.2 + 0.01 * (number % 10)
         lengths.ended(estimate, 3.0, 1.5 * estimate)
-    assert lengths.expect(0.3, 3.0).length == pytest.approx(0.45, rel=0.1)
+    assert lengths.predict(0.3, 3.0).length == pytest.approx(0.45, rel=0.1)
 
 
 def test_a_job_that_was_sent_again_is_known_by_its_short_deadline() -> None:
     lengths = taught(100)
-    again = lengths.expect(0.4, 2 + 5 * 0.4 - 1.6)
+    again = lengths.predict(0.4, 2 + 5 * 0.4 - 1.6)
     assert again.length == 0.4
     assert again.age == pytest.approx(1.6, abs=0.4)
-    assert lengths.expect(0.4, 2 + 5 * 0.4).age == 0.0
+    assert lengths.predict(0.4, 2 + 5 * 0.4).age == 0.0
 
 
 def test_no_end_moves_the_expectation_farther_than_the_limit() -> None:
     lengths = TaskLengthModel()
     for _ in range(300):
         lengths.ended(0.1, 3.0, 60.0)
-    assert lengths.expect(0.1, 3.0).length <= FARTHEST * 0.1
+    assert lengths.predict(0.1, 3.0).length <= FARTHEST * 0.1
 
 
 def test_queues_are_learned_apart() -> None:
     lengths = TaskLengthModels()
     for _ in range(50):
         lengths.of("slow").ended(0.2, 3.0, 0.6)
-    assert lengths.of("slow").expect(0.2, 3.0).length > 0.5
-    assert lengths.of("other").expect(0.2, 3.0) == JobPrediction(0.2)
+    assert lengths.of("slow").predict(0.2, 3.0).length > 0.5
+    assert lengths.of("other").predict(0.2, 3.0) == JobPrediction(0.2)
 
 
 def test_queues_that_were_not_asked_for_longest_are_forgotten_first() -> None:
@@ -85,5 +85,5 @@
     for number in range(MOST_QUEUES - 1):
         lengths.of("kept")
         lengths.of(f"q{number}")
-    assert lengths.of("kept").expect(0.2, 3.0) != JobPrediction(0.2)
-    assert lengths.of("forgotten").expect(0.2, 3.0) == JobPrediction(0.2)
+    assert lengths.of("kept").predict(0.2, 3.0) != JobPrediction(0.2)
+    assert lengths.of("forgotten").predict(0.2, 3.0) == JobPrediction(0.2)
