--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -38,7 +38,7 @@
         work = work_seconds(now - task.placed_at) / self._placement.away_factor(job, target)
         task.work, task.ran_on = work, target.runner
         sound = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
-        self._lengths.of(job.queue.name).ended(request.estimate, request.deadline, sound)
+        self._lengths.of(job.queue.name).observe(request.estimate, request.deadline, sound)
 
     def compare_tasks(self, job: JobRecord, targets: Mapping[str, TargetRecord]) -> None:
         """Learn from what the tasks of a job that has ended took how slow hosts are."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -57,7 +57,7 @@
         self._line = (0.0, 1.0, 0.0)
         self._stale = False
 
-    def ended(self, estimate: float, deadline: float, took: float) -> None:
+    def observe(self, estimate: float, deadline: float, took: float) -> None:
         """Note that a task of a job with these figures took `took` seconds."""
         ratio = min(FARTHEST, max(1 / FARTHEST, took / estimate))
         row = _row(estimate, deadline)
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -96,7 +96,7 @@
         done = [(t, works(t, length, rng)) for t in where]
         speeds.refresh(0.077 * number, targets)
         for each, work in done:
-            lengths.ended(estimate, 3.0, work * speeds.typical_slowness("svc") / each.slowness)
+            lengths.observe(estimate, 3.0, work * speeds.typical_slowness("svc") / each.slowness)
         speeds.compare_tasks(expected, done)
         seen.append(ratio(speeds))
     assert all(each == pytest.approx(RATIO, rel=0.1) for each in seen[250:])
@@ -119,7 +119,7 @@
         where = rng.choices(targets, k=rng.choice(widths))
         done = [(t, works(t, length, rng)) for t in where]
         for each, work in done:
-            lengths.ended(estimate, 3.0, work * speeds.typical_slowness("svc") / each.slowness)
+            lengths.observe(estimate, 3.0, work * speeds.typical_slowness("svc") / each.slowness)
         speeds.compare_tasks(expected, done)
         means.append(sum(t.deviation for t in targets) / len(targets))
     assert all(0.9 < mean < 1.1 for mean in means)
--- a/testing/core/leased/test_tasklengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -18,7 +18,7 @@
     lengths = TaskLengthModel()
     for _ in range(ends):
         length = rng.uniform(0.1, 0.8)
-        lengths.ended(length * rng.uniform(0.6, 1.6), 2 + patience * length, length)
+        lengths.observe(length * rng.uniform(0.6, 1.6), 2 + patience * length, length)
     return lengths
 
 
@@ -28,7 +28,7 @@
 
 def test_one_end_does_not_outweigh_the_estimate_wholly() -> None:
     lengths = TaskLengthModel()
-    lengths.ended(0.4, 3.0, 0.6)
+    lengths.observe(0.4, 3.0, 0.6)
     assert 0.4 < lengths.predict(0.4, 3.0).length < 0.59
 
 
@@ -51,7 +51,7 @@
     lengths = TaskLengthModel()
     for number in range(50):
         estimate = 0.2 + 0.01 * (number % 10)
-        lengths.ended(estimate, 3.0, 1.5 * estimate)
+        lengths.observe(estimate, 3.0, 1.5 * estimate)
     assert lengths.predict(0.3, 3.0).length == pytest.approx(0.45, rel=0.1)
 
 
@@ -66,7 +66,7 @@
 def test_no_end_moves_the_expectation_farther_than_the_limit() -> None:
     lengths = TaskLengthModel()
     for _ in range(300):
-        lengths.ended(0.1, 3.0, 60.0)
+        lengths.observe(0.1, 3.0, 60.0)
     assert lengths.predict(0.1, 3.0).length <= FARTHEST * 0.1
 
 
