--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -594,7 +594,7 @@
             return []
         if end is End.DONE:
             task.phase = TaskPhase.DONE
-            self._estimator.ended(now, job, task, target)
+            self._estimator.task_completed(now, job, task, target)
             if all(other.phase is TaskPhase.DONE for other in job.tasks):
                 self._estimator.compare_tasks(job, self._targets)
                 return [self._answer(now, job, Completed())]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -25,7 +25,9 @@
         """Return how long a task of a job is expected to take, and how old the job seems."""
         return self._lengths.of(queue.name).predict(request.estimate, request.deadline)
 
-    def ended(self, now: float, job: JobRecord, task: TaskRecord, target: TargetRecord) -> None:
+    def task_completed(
+        self, now: float, job: JobRecord, task: TaskRecord, target: TargetRecord
+    ) -> None:
         """Learn from a task that has ended well how long its queue's tasks take.
 
         One on a runner that is not well says nothing, nor does one that was sent to a cold runner.
