--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -85,10 +85,10 @@
 
 @final
 class LinkPressure:
-    """Tells the level from samples.
+    """Derives the pressure level from samples.
 
-    `normal_echo_age` is how old the peers' echoes are at most in seconds while nothing waits: a process
-    may start while its link is pressed.
+    `normal_echo_age` bounds the age of the peers' echoes, in seconds, on an idle link. It serves as
+    the baseline of a process that starts while its link is already under pressure.
     """
 
     def __init__(self, normal_echo_age: float = float("inf")) -> None:
--- a/testing/core/leased/test_tasklengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -73,7 +73,7 @@
 def test_queues_are_learned_apart() -> None:
     lengths = TaskLengthModels()
     for _ in range(50):
-        lengths.of("slow").ended(0.2, 3.0, 0.6)
+        lengths.of("slow").observe(0.2, 3.0, 0.6)
     assert lengths.of("slow").predict(0.2, 3.0).length > 0.5
     assert lengths.of("other").predict(0.2, 3.0) == JobPrediction(0.2)
 
@@ -81,7 +81,7 @@
 def test_queues_that_were_not_asked_for_longest_are_forgotten_first() -> None:
     lengths = TaskLengthModels()
     for name in ("kept", "forgotten"):
-        lengths.of(name).ended(0.2, 3.0, 0.6)
+        lengths.of(name).observe(0.2, 3.0, 0.6)
     for number in range(MOST_QUEUES - 1):
         lengths.of("kept")
         lengths.of(f"q{number}")
