--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -262,7 +262,7 @@
 
 def outlive_a_stand_still(patch: pytest.MonkeyPatch) -> None:
     """What is pending survives a stand-still, and counts the lease from when it reads an echo."""
-    patch.setattr(LeaseTimes, "pending", 3600.0)
+    patch.setattr(LeaseTimes, "confirm_timeout", 3600.0)
 
     def lease_left(self: EntryLink, now: float, times: LeaseTimes) -> float:
         return self.heard + times.session - now
