--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -18,7 +18,7 @@
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
-from paddleshunt_core.leased.wire import LossId, LossNews, RunnerReturned
+from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerReturned
 
 QUIET_SECONDS = 1.5
 """Seconds without a loss, with a target that takes work, after which a queue gets more targets.
@@ -133,7 +133,7 @@
             return []
         return self._confine(now, targets, self._suspicions.lost_again())
 
-    def learn(self, now: float, news: LossNews, targets: Targets) -> tuple[bool, list[Log]]:
+    def learn(self, now: float, news: LossUpdate, targets: Targets) -> tuple[bool, list[Log]]:
         """Follow a word on a runner; return whether it was news, and what it leads to."""
         if not self._suspicions.learn(now, news):
             return False, []
@@ -378,7 +378,7 @@
     return note(
         "queue_evidence_taken_back",
         queue=queue,
-        answers=str(returned.life),
+        answers=str(returned.incarnation),
         runners=_named(doubtful),
         second_losses_left=0 if left is None else left.second_losses,
     )
@@ -386,4 +386,4 @@
 
 def _named(losses: Iterable[LossId]) -> str:
     """Return the lives of some losses, as one line names them."""
-    return ",".join(sorted({str(loss.life) for loss in losses})[:MOST_NAMED])
+    return ",".join(sorted({str(loss.incarnation) for loss in losses})[:MOST_NAMED])
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -17,13 +17,11 @@
     refusal,
     room_note,
 )
-from paddleshunt_core.leased.answers import Answers
 from paddleshunt_core.leased.assigner import Assigner
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, HALL_PREFERENCE, LeaseTimes
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.containment import Containment
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations, evacuation_note
-from paddleshunt_core.leased.jobbook import JobBook
 from paddleshunt_core.leased.jobs import (
     STALE_STEP,
     JobRecord,
@@ -32,21 +30,23 @@
     TaskRecord,
     new_job,
 )
+from paddleshunt_core.leased.jobtable import JobTable
+from paddleshunt_core.leased.livenesschecks import LivenessChecks
 from paddleshunt_core.leased.outcomes import (
     AnswerJob,
+    BroadcastLoss,
     Completed,
     Failed,
     GivenUp,
-    HandOn,
     JobOutcome,
     Refused,
 )
+from paddleshunt_core.leased.pausedetector import RESUME_GRACE_SECONDS, PauseDetector
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.retries import Retries
 from paddleshunt_core.leased.runtimeestimator import RuntimeEstimator
-from paddleshunt_core.leased.session import Session, good_echo_age
+from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
-from paddleshunt_core.leased.standstill import THAW_SECONDS, StandStill
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wants import Wants
@@ -54,18 +54,18 @@
     Body,
     End,
     Ended,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     Hello,
-    LossNews,
+    LossUpdate,
     RunId,
     RunnerLost,
     RunnerReport,
     RunnerReturned,
     RunnerSilent,
     RunnerState,
-    SpeedNews,
+    SpeedUpdate,
     Stop,
 )
 
@@ -89,7 +89,7 @@
 """Ends of runs that never began."""
 
 
-Effect = AnswerJob | HandOn | Log
+Effect = AnswerJob | BroadcastLoss | Log
 
 
 @final
@@ -115,21 +115,21 @@
         )
         self._containment = Containment(times.hold)
         self._assigner = Assigner(self._placement, self._containment, self._speeds)
-        self._jobs = JobBook()
+        self._jobs = JobTable()
         self._targets: dict[str, TargetRecord] = {}
         self._estimator = RuntimeEstimator(self._placement, self._speeds)
         self._wants = Wants()
-        self._answers = Answers(times, self._jobs)
+        self._answers = LivenessChecks(times, self._jobs)
         self._evacuations = Evacuations()
         self._unplaced = False
         """Whether something was heard that may let a task be placed."""
         self._sessions = 0
         self._met: float | None = None
         """When the first session with a target began."""
-        self._pauses = StandStill(times.session)
+        self._pauses = PauseDetector(times.session)
         self._ends: float | None = None
         """When this process ends, if it is leaving."""
-        self.turned_away: Refused | None = None
+        self.new_job_refusal: Refused | None = None
         """What new jobs are told while this host's link is pressed; None to take them."""
 
     @property
@@ -138,8 +138,8 @@
         return len(self._jobs)
 
     @property
-    def awaits_callers(self) -> bool:
-        """Whether `place_arrived` is due for a job, now or soon."""
+    def has_new_jobs(self) -> bool:
+        """Whether `place_new_jobs` is due for a job, now or soon."""
         return any(not job.is_awaited for job in self._jobs.all())
 
     @property
@@ -157,7 +157,7 @@
         Only sessions that are held are renewed all the time.
         """
         held = (t.session for t in self._targets.values() if t.connected and t.placed)
-        return good_echo_age(now, (session for session in held if session is not None))
+        return lower_quartile_echo_age(now, (session for session in held if session is not None))
 
     def describe(self, now: float) -> dict[str, object]:
         """Return a summary of the state for a dump."""
@@ -176,14 +176,14 @@
     def submit(self, now: float, caller: int, request: JobRequest, queue: Queue) -> list[Effect]:
         """Take a job, or refuse it."""
         effects = self._notice_pause(now)
-        if self._pauses.just_ended(now):
-            stood_still = Refused("stood_still", THAW_SECONDS)
+        if self._pauses.recently_resumed(now):
+            stood_still = Refused("stood_still", RESUME_GRACE_SECONDS)
             return [*effects, self._refuse(caller, request, stood_still)]
         held = self._jobs.of_key(request.key)
         if held is not None:
             return [*effects, self._hand_over(now, caller, held)]
-        if self.turned_away is not None:
-            return [*effects, self._refuse(caller, request, self.turned_away)]
+        if self.new_job_refusal is not None:
+            return [*effects, self._refuse(caller, request, self.new_job_refusal)]
         expected = self._estimator.predict(queue, request)
         job = new_job(caller, request, queue, now, expected)
         job.place_from = now + self._caller_delay
@@ -248,22 +248,22 @@
         """What is known of evacuated halls."""
         return self._evacuations
 
-    def told_evacuations(self, now: float, told: EvacuatedHalls, source: str) -> list[Effect]:
+    def handle_evacuations(self, now: float, told: EvacuatedHalls, source: str) -> list[Effect]:
         """Follow a word of evacuated halls, and tell the targets; an older one changes nothing."""
         if not self._evacuations.learn(told):
             return []
         for target in self._targets.values():
             if target.session is not None:
-                target.session.send(EvacuationNews(self._evacuations.known))
+                target.session.send(EvacuationUpdate(self._evacuations.known))
         return [evacuation_note(self._evacuations, source), *self._place(now)]
 
     # Lost runners.
 
-    def known_losses(self, now: float) -> list[LossNews]:
+    def known_losses(self, now: float) -> list[LossUpdate]:
         """Return what is remembered of lost runners, for an entry that was just met."""
         return self._retries.known_losses(now)
 
-    def told_loss(self, now: float, news: LossNews, source: str) -> list[Effect]:
+    def handle_loss_news(self, now: float, news: LossUpdate, source: str) -> list[Effect]:
         """Follow a word on a lost runner, and give up jobs that it decides.
 
         A target's own word is handed on to all entries; theirs is not, or each would tell all.
@@ -274,7 +274,7 @@
             return []
         effects: list[Effect] = [*logs, *confined]
         if source in self._targets:
-            effects.append(HandOn(news))
+            effects.append(BroadcastLoss(news))
         tasks = news.tasks if isinstance(news, RunnerLost) else []
         return [*effects, *self._check_jobs(now, {task.job for task in tasks})]
 
@@ -302,7 +302,7 @@
         """What is known of how slow the kinds of hosts are."""
         return self._speeds
 
-    def told_speeds(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
+    def handle_speed_news(self, now: float, news: SpeedUpdate, source: str) -> list[Effect]:
         """Take another entry's word on kinds of hosts that it knows much better."""
         taken = self._speeds.merge(news)
         if taken:
@@ -311,7 +311,7 @@
 
     # Targets.
 
-    def greeted(self, now: float, hello: Hello) -> tuple[Session | None, list[Effect]]:
+    def handle_hello(self, now: float, hello: Hello) -> tuple[Session | None, list[Effect]]:
         """Take a target's greeting; return the session, or None if the one it names is over.
 
         A target names no session only if nothing of an earlier one is left with it.
@@ -341,11 +341,11 @@
         target = self._targets.get(name)
         return target.session if target else None
 
-    def heard(self, now: float, name: str, frame: Frame) -> list[Effect]:
+    def handle_frame(self, now: float, name: str, frame: Frame) -> list[Effect]:
         """Take a frame of a target."""
         effects = self._notice_pause(now)
         target = self._targets.get(name)
-        if target is None or target.session is None or target.session.misses(frame):
+        if target is None or target.session is None or target.session.has_gap_before(frame):
             return effects
         bodies = target.session.accept(frame, round(now * 1000))
         target.spoke(now)
@@ -354,7 +354,7 @@
         self._unplaced = self._unplaced or bool(bodies)
         return effects
 
-    def owes_answer(self, now: float, name: str, frame: Frame) -> bool:
+    def needs_immediate_reply(self, now: float, name: str, frame: Frame) -> bool:
         """Whether a target's frame is to be answered at once, which renews its lease.
 
         Not if it has just been renewed; a frame that carried no later echo renewed nothing, as the
@@ -368,17 +368,17 @@
         pause = self._times.min_idle_reply_interval if calm else self._times.min_reply_interval
         return now > target.session.renewed_ms / 1000 + pause
 
-    def answer_due(self) -> float | None:
-        """Return when `check_answers` is due, if a target is to confirm that it lives."""
+    def next_confirmation_deadline(self) -> float | None:
+        """Return when `check_confirmations` is due, if a target is to confirm that it lives."""
         return self._answers.due()
 
-    def check_answers(self, now: float) -> list[Effect]:
+    def check_confirmations(self, now: float) -> list[Effect]:
         """Place elsewhere what targets were given that do not answer; it has never begun."""
         effects = self._notice_pause(now)
         logs = self._answers.check(now)
         return [*effects, *logs, *self._place(now)] if logs else effects
 
-    def place_arrived(self, now: float) -> list[Effect]:
+    def place_new_jobs(self, now: float) -> list[Effect]:
         """Place jobs whose callers have had the time to say that they left.
 
         Nothing else places them first: call it once the ends of connections that had come are
@@ -487,7 +487,7 @@
 
     def _notice_pause(self, now: float) -> list[Effect]:
         """Give up all jobs if this process stood still: their callers may have gone elsewhere."""
-        seconds = self._pauses.moved(now)
+        seconds = self._pauses.observe(now)
         if not seconds:
             return []
         fields: dict[str, str | int | float] = {
@@ -496,7 +496,7 @@
         }
         effects: list[Effect] = [note("stood_still", **fields)]
         for job in self._jobs.all():
-            effects.append(self._give_up(now, job, "stood_still", THAW_SECONDS))
+            effects.append(self._give_up(now, job, "stood_still", RESUME_GRACE_SECONDS))
         return effects
 
     # Inside: targets.
@@ -513,7 +513,7 @@
         session = target.session = Session(self._sessions, int(now * 1000))
         target.reset()
         if self._evacuations.known.revision:
-            session.send(EvacuationNews(self._evacuations.known))
+            session.send(EvacuationUpdate(self._evacuations.known))
         lost = [*target.placed, *target.held]
         target.placed.clear()
         target.held.clear()
@@ -532,7 +532,7 @@
             lost = list(target.held)
             target.held.clear()
             return self._run_again(now, lost, target.name, "lease_lapsed")
-        if now > target.heard + FORGET_SECONDS:
+        if now > target.last_received + FORGET_SECONDS:
             del self._targets[target.name]
         return []
 
@@ -552,7 +552,7 @@
         self._jobs.hold(target.held, target.name)
         fields: dict[str, str | int | float] = {
             "target": target.name,
-            "silent_ms": round((now - target.heard) * 1000),
+            "silent_ms": round((now - target.last_received) * 1000),
             "held": len(target.held),
         }
         return [note("session_ended", **fields)]
@@ -565,10 +565,10 @@
                 self._speeds.set_kind_factor(target)
                 self._wants.reported(target)
                 self._check_evacuation(target, body)
-            case EvacuationNews():
-                return self.told_evacuations(now, body.evacuated, target.name)
+            case EvacuationUpdate():
+                return self.handle_evacuations(now, body.evacuated, target.name)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
-                return self.told_loss(now, body, target.name)
+                return self.handle_loss_news(now, body, target.name)
             case Ended():
                 effects: list[Effect] = []
                 for run, end in body.ends:
@@ -584,7 +584,7 @@
         covered = self._evacuations.covers(target.hall)
         differs = report.state is (RunnerState.READY if covered else RunnerState.EVACUATED)
         if differs and target.session is not None:
-            target.session.send(EvacuationNews(self._evacuations.known))
+            target.session.send(EvacuationUpdate(self._evacuations.known))
 
     def _ended(self, now: float, target: TargetRecord, run: RunId, end: End) -> list[Effect]:
         target.placed.discard(run)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import final
 
-from paddleshunt_core.leased.wire import LossNews
+from paddleshunt_core.leased.wire import LossUpdate
 
 
 @final
@@ -50,10 +50,10 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class HandOn:
+class BroadcastLoss:
     """Tell the other entries what has just been learned here."""
 
-    news: LossNews
+    news: LossUpdate
 
 
 JobOutcome = Completed | Failed | Refused | GivenUp
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -14,22 +14,22 @@
 from paddleshunt_core.leased.jobs import JobRecord, TaskPhase, TaskRecord
 from paddleshunt_core.leased.losses import LossHistory
 from paddleshunt_core.leased.outcomes import GivenUp
-from paddleshunt_core.leased.wire import LossNews, RunnerReturned, RunnerSilent
+from paddleshunt_core.leased.wire import LossUpdate, RunnerReturned, RunnerSilent
 
-LOST_RUNNERS = 2
+MAX_LOST_RUNNERS = 2
 """Runners lost under a task after which it is not started again, whatever else ran on them.
 
 One more costs the neighbours on the third runner more than it spares sound jobs that were beside
 the cause twice: measured in docs/design/crashing-tasks.md.
 """
 
-LOST_RUNS = 3
+MAX_LOST_RUNS = 3
 """The same of lost runners and runs lost with their target or its session, if a runner was lost.
 
 Why a session ended nobody tells: its runner may have been lost behind a cut.
 """
 
-MOST_RETRIES = 8
+MAX_RETRIES = 8
 """Runs that may have begun without ending well, after which a task is not tried again.
 
 A task that is no fault of this meets a lost, a hanging and a slow runner in turn and has some left.
@@ -48,18 +48,18 @@
     def __init__(self) -> None:
         self._losses = LossHistory()
 
-    def known_losses(self, now: float) -> list[LossNews]:
+    def known_losses(self, now: float) -> list[LossUpdate]:
         """Return what is remembered of lost runners, to hand on."""
         return self._losses.export(now)
 
-    def learn(self, now: float, news: LossNews, source: str) -> list[Log]:
+    def learn(self, now: float, news: LossUpdate, source: str) -> list[Log]:
         """Follow a word on a lost runner; return the line about it, none if it was known.
 
         One that is only silent counts for nothing: what is at work on it may go on.
         """
         if isinstance(news, RunnerSilent) or not self._losses.apply(now, news):
             return []
-        runner = str(news.loss.life)
+        runner = str(news.loss.incarnation)
         if isinstance(news, RunnerReturned):
             return [note("runner_return_learned", runner=runner, source=source)]
         tasks, ended = len(news.tasks), len(news.ended)
@@ -106,12 +106,12 @@
     def _outcome(self, task: TaskRecord) -> GivenUp | None:
         """Return how the job of a task ends that is not to be tried again; None if it may be."""
         runners = self._suspicious(task)
-        if runners >= LOST_RUNNERS:
+        if runners >= MAX_LOST_RUNNERS:
             ended = len(self._losses.ended(task.id))
-            return GivenUp(ENDED_RUNNERS if ended >= LOST_RUNNERS else SILENT_RUNNERS)
-        if runners and runners + task.losses >= LOST_RUNS:
+            return GivenUp(ENDED_RUNNERS if ended >= MAX_LOST_RUNNERS else SILENT_RUNNERS)
+        if runners and runners + task.losses >= MAX_LOST_RUNS:
             return GivenUp(LOST_SESSIONS)
-        return GivenUp(RETRIES) if task.retries >= MOST_RETRIES else None
+        return GivenUp(RETRIES) if task.retries >= MAX_RETRIES else None
 
     def _suspicious(self, task: TaskRecord) -> int:
         """Return how many runners were lost under a task that it may have taken down.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -4,19 +4,18 @@
 from typing import final
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.accounts import AccountCheck, contradiction_note
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, LeaseTimes
 from paddleshunt_core.leased.evacuation import Evacuations
 from paddleshunt_core.leased.foreignruns import ForeignRuns
 from paddleshunt_core.leased.health import RunnerHealth
-from paddleshunt_core.leased.incarnations import Claim, Incarnations
+from paddleshunt_core.leased.incarnations import HeartbeatClass, Incarnations
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    Look,
-    LookAnswer,
     Order,
+    Poll,
+    PollAnswer,
     RunEnd,
-    RunnerAccount,
+    RunnerStatus,
     StartAnswer,
     StartRun,
     StopRun,
@@ -31,8 +30,8 @@
     stands_still,
 )
 from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
 from paddleshunt_core.leased.runnerlease import RunnerLease
-from paddleshunt_core.leased.runnerlife import RunnerLife, as_told
 from paddleshunt_core.leased.runnerlosses import RunnerLosses
 from paddleshunt_core.leased.runnotes import (
     ended_note,
@@ -42,6 +41,7 @@
     resized_note,
 )
 from paddleshunt_core.leased.runtable import Phase, Run, RunTable
+from paddleshunt_core.leased.statuscheck import StatusCheck, contradicting_status_note
 from paddleshunt_core.leased.stopping import stop, stop_again
 from paddleshunt_core.leased.wire import (
     End,
@@ -96,8 +96,8 @@
         self.evacuations = Evacuations()
         self.lives = Incarnations()
         self.table = RunTable()
-        self.account: RunnerAccount | None = None
-        self._check_account = AccountCheck()
+        self.status: RunnerStatus | None = None
+        self._check_account = StatusCheck()
         self.health = RunnerHealth(cold_overrun)
         self.level = Health.GOOD
         self.leaving = False
@@ -159,54 +159,54 @@
         """Start nothing more."""
         self.leaving = True
 
-    def runner_spoke(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Follow the runner's account of itself, unless it is late; it may be of another life."""
-        if self.lives.judge(account) is Claim.LATE:
-            self.lives.pass_over(account)
-            return [late_note(account, self.lives.current)]
-        known = self.account
-        if self._check_account.contradicts(known, account):
-            return [contradiction_note(account)]
+        if self.lives.classify(status) is HeartbeatClass.LATE:
+            self.lives.pass_over(status)
+            return [late_note(status, self.lives.current)]
+        known = self.status
+        if self._check_account.contradicts(known, status):
+            return [contradicting_status_note(status)]
         effects: list[Effect] = []
-        if not self.lives.is_current(account.runner):
+        if not self.lives.is_current(status.runner):
             if self.lives.current is not None:
-                effects += self._runner_replaced(now, account.runner)
+                effects += self._runner_replaced(now, status.runner)
             self._foreign.meet(now)
             known = None
         elif known is not None:
             self.losses.spoke()
-        self.account = account
-        self.lives.follow(account)
-        effects += self._note_cold(now, account)
-        if known is not None and known.capacity != account.capacity:
-            effects.append(resized_note(account, known.capacity))
-        if account.leaving and not (known and known.leaving):
-            effects.append(note("runner_leaving", runner=str(account.runner)))
+        self.status = status
+        self.lives.follow(status)
+        effects += self._note_cold(now, status)
+        if known is not None and known.capacity != status.capacity:
+            effects.append(resized_note(status, known.capacity))
+        if status.leaving and not (known and known.leaving):
+            effects.append(note("runner_leaving", runner=str(status.runner)))
         return effects
 
     def cold(self, now: float) -> float:
         """Return for how many seconds the runner stays slow yet after its start."""
         return max(0.0, self._cold_until - now)
 
-    def _note_cold(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def _note_cold(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Follow the runner's word on how long it stays slow; it runs down until the next."""
         was_cold = self.cold(now) > 0
-        self._cold_until = now + account.cold
-        self.health.note_cold(now, account.cold)
-        if not account.cold or was_cold:
+        self._cold_until = now + status.cold
+        self.health.set_cold_remaining(now, status.cold)
+        if not status.cold or was_cold:
             return []
-        left = round(account.cold * 1000)
-        return [note("runner_cold", runner=str(account.runner), left_ms=left)]
+        left = round(status.cold * 1000)
+        return [note("runner_cold", runner=str(status.runner), left_ms=left)]
 
-    def runner_left(self, now: float, life: RunnerLife) -> list[Effect]:
+    def runner_deregistered(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
         current = self.lives.current
         if current is None or not self.lives.is_current(life):
             self.lives.note_ended(life)
             return []
-        if self.account is not None:
+        if self.status is not None:
             # What still runs there ends with a runner that left as it said: it took nothing down.
-            self.account = replace(self.account, leaving=True)
+            self.status = replace(self.status, leaving=True)
         if current.born and not life.born:
             # It may be the late word of an earlier life: nothing is started until the runner says
             # otherwise, and what runs goes on until looks show that it has ended.
@@ -214,24 +214,24 @@
         self.lives.note_ended(life)
         return self._runner_replaced(now, None)
 
-    def next_look(self, now: float, *, renew: bool) -> Look:
+    def next_poll(self, now: float, *, renew: bool) -> Poll:
         """Return the look to send now; it counts as sent, and renews if an entry's session lives.
 
         After one without an answer, the next only looks, at once: a runner that doesn't answer
         must not have its lease renewed for ever, or its runs could never be given up.
         """
-        self._waited = 0.0 if self._failed_looks else self._look_wait()
+        self._waited = 0.0 if self._failed_looks else self._poll_wait()
         if self._failed_looks:
-            return Look(self._last_seen, None, 0.0)
+            return Poll(self._last_seen, None, 0.0)
         until = self._lease.next_end(now, self.table) if renew else now
         if until <= now:
-            return Look(self._last_seen, None, self._waited)
+            return Poll(self._last_seen, None, self._waited)
         self._lease.grant(until)
-        return Look(self._last_seen, until, self._waited)
+        return Poll(self._last_seen, until, self._waited)
 
-    def _look_wait(self) -> float:
+    def _poll_wait(self) -> float:
         # The runner's account changes whom a look is meant for: a long one under way is wasted.
-        if not self.clean or self.account is None:
+        if not self.clean or self.status is None:
             return 0.0
         if any(run.doubted is not None or run.phase is Phase.STOPPING for run in self.table):
             return 0.0
@@ -239,7 +239,7 @@
             return self._times.hold * IDLE_LOOK_SHARE
         return min(LOOK_SECONDS, self._times.hold * LOOK_SHARE)
 
-    def looked(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
         """Take the runner's lists of what runs and what has ended."""
         effects = self._reached()
         life = self._life_of(answer)
@@ -256,12 +256,12 @@
         self._failed_looks = 0
         return [note("runner_reachable")] if was_unreachable else []
 
-    def _life_of(self, answer: LookAnswer) -> RunnerLife | None:
+    def _life_of(self, answer: PollAnswer) -> RunnerIncarnation | None:
         """Return the life that gave an answer, as far as it says; None if none was meant."""
         current = self.lives.current
-        return None if current is None else RunnerLife(current.id, answer.born)
+        return None if current is None else RunnerIncarnation(current.id, answer.born)
 
-    def _read_lists(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def _read_lists(self, now: float, answer: PollAnswer) -> list[Effect]:
         effects: list[Effect] = []
         self.losses.answered()
         self._last_seen = max(self._last_seen, answer.listed)
@@ -283,7 +283,7 @@
                 effects += self._look_for(now, run, answer)
         return effects + self._leave_hung(now, shown)
 
-    def _look_for(self, now: float, run: Run, answer: LookAnswer) -> list[Effect]:
+    def _look_for(self, now: float, run: Run, answer: PollAnswer) -> list[Effect]:
         """Decide on a run that a full list doesn't show."""
         if run.doubted is not None and run.doubted < answer.sent:
             return [*stop(now, run, End.NOT_STARTED, "start_unanswered")]
@@ -292,7 +292,7 @@
         return []
 
     def _look_for_outlived(
-        self, now: float, run: Run, answer: LookAnswer, *, listed: bool
+        self, now: float, run: Run, answer: PollAnswer, *, listed: bool
     ) -> list[Effect]:
         """Decide on a run that was ordered of the life before; an order may be carried out late.
 
@@ -309,7 +309,7 @@
             return []
         return self._ended(run, End.LOST, "runner_replaced")
 
-    def look_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
         """Take a renewal that got no answer, or the answer that another id runs there."""
         if other_life:
             return self._runner_replaced(now, None, answered=self.clean)
@@ -318,9 +318,9 @@
         self._failed_looks += 1
         if self._failed_looks == UNREACHABLE_LOOKS:
             effects.append(note("runner_unreachable", runs=len(self.table)))
-            self.losses.silent(now, self.account, self.table)
+            self.losses.silent(now, self.status, self.table)
         if self._lease.has_killed(now) and len(self.table):
-            effects.append(self.losses.given_up(now, self.account, self.table))
+            effects.append(self.losses.given_up(now, self.status, self.table))
             for run in self.table:
                 effects.append(lapsed_note(run, self._lease.over_for(now)))
                 effects += self._ended(run, End.LOST, "lease_lapsed")
@@ -344,7 +344,7 @@
             case StartAnswer.OTHER_LIFE if not run.outlived:
                 return self._runner_replaced(now, None)
             case StartAnswer.UNHEALTHY:
-                self.health.suspect(now)
+                self.health.mark_sick(now)
             case _:
                 pass
         end = End.STALE if answer is StartAnswer.STALE else End.NOT_STARTED
@@ -363,11 +363,11 @@
 
     def state(self) -> RunnerState:
         """Return what the runner may be given."""
-        if self.account is None or self._failed_looks >= UNREACHABLE_LOOKS:
+        if self.status is None or self._failed_looks >= UNREACHABLE_LOOKS:
             return RunnerState.DOWN
-        if self.leaving or self.account.leaving:
+        if self.leaving or self.status.leaving:
             return RunnerState.LEAVING
-        if self.evacuations.covers(self.account.hall or self._hall):
+        if self.evacuations.covers(self.status.hall or self._hall):
             return RunnerState.EVACUATED
         return RunnerState.READY
 
@@ -382,13 +382,13 @@
 
         What runs goes on; an order that has not left yet is held back.
         """
-        return self.account is None or not self.table.used.fits(self.account.capacity)
+        return self.status is None or not self.table.used.fits(self.status.capacity)
 
     def free(self) -> Resources:
         """Return the room on the runner."""
-        if self.account is None:
+        if self.status is None:
             return NO_RESOURCES
-        return self.account.capacity - self.table.used
+        return self.status.capacity - self.table.used
 
     def offered(self, now: float) -> Resources:
         """Return the room that is given to entries now: none while nothing may start."""
@@ -456,7 +456,7 @@
         if not self.health.is_slow(now):
             return []
         speed = self.health.speed(now)
-        self.health.suspect(now)
+        self.health.mark_sick(now)
         return [
             effect
             for run in self.table
@@ -468,10 +468,10 @@
         """Stop all runs, to run elsewhere, if none of them made progress any more when `shown`."""
         runs = [run for run in self.table if run.phase is Phase.RUNNING]
         if len(runs) < HUNG_RUNS or not all(
-            stands_still(shown, run, self.health.patience(run.moved)) for run in runs
+            stands_still(shown, run, self.health.overrun_factor(run.moved)) for run in runs
         ):
             return []
-        self.health.suspect(now)
+        self.health.mark_sick(now)
         return [
             effect for run in runs for effect in stop(now, run, End.STUCK, "runner_stands_still")
         ]
@@ -510,8 +510,10 @@
         run.doubted = None
         run.settled = now if run.phase is Phase.RUNNING else run.settled
         note_progress(now, shown, run, percent, self.health)
-        if run.phase is Phase.RUNNING and is_stuck(shown, run, self.health.patience(run.moved)):
-            self.health.suspect(now)
+        if run.phase is Phase.RUNNING and is_stuck(
+            shown, run, self.health.overrun_factor(run.moved)
+        ):
+            self.health.mark_sick(now)
             return [*stop(now, run, End.STUCK, "no_progress")]
         return []
 
@@ -530,7 +532,7 @@
         return effects
 
     def _runner_replaced(
-        self, now: float, life: RunnerLife | None, *, answered: bool = True
+        self, now: float, life: RunnerIncarnation | None, *, answered: bool = True
     ) -> list[Effect]:
         """End all that an earlier life of the runner had: it died with it.
 
@@ -540,9 +542,11 @@
         never `answered` may be the next one, which the last one makes wait.
         """
         was = self.lives.current
-        effects: list[Effect] = [note("runner_replaced", was=as_told(was), now=as_told(life))]
-        effects += self.losses.replaced(now, self.account, self.table)
-        strays = life is not None and was is not None and was.shares_id(life)
+        effects: list[Effect] = [
+            note("runner_replaced", was=format_incarnation(was), now=format_incarnation(life))
+        ]
+        effects += self.losses.replaced(now, self.status, self.table)
+        strays = life is not None and was is not None and was.has_same_id(life)
         for run in self.table:
             if strays:
                 run.outlive(now)
@@ -553,7 +557,7 @@
         self.health = RunnerHealth(self._cold_overrun)
         self._cold_until = float("-inf")
         self._last_seen = 0
-        self.account = None
+        self.status = None
         self.lives.end(answered=answered)
         self._foreign.meet(now)
         if life is not None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -14,7 +14,7 @@
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.jobs import OVERHEAD_SECONDS
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import KindSpeed, SpeedNews
+from paddleshunt_core.leased.wire import KindSpeed, SpeedUpdate
 
 MEMORY_ENDS = 200.0
 """Ends that count in a kind's factor at most: a change of it is followed within about so many."""
@@ -237,11 +237,11 @@
         for sample in samples:
             others = [s.length for s in samples if s is not sample]
             if others:
-                sample.target.took(sample.length / _mean(others), 1.0)
+                sample.target.observe_duration_ratio(sample.length / _mean(others), 1.0)
             else:
                 # A length is meant for a usual host, and what a sample tells for one of factor 1.
                 ratio = sample.length * self.typical_slowness(sample.kind[0]) / expected
-                sample.target.took(ratio, LENGTH_WEIGHT_ALONE)
+                sample.target.observe_duration_ratio(ratio, LENGTH_WEIGHT_ALONE)
             self.set_kind_factor(sample.target)
 
     def tick(self, now: float, targets: Iterable[TargetRecord]) -> None:
@@ -272,7 +272,7 @@
                 factor = known[kind] = self.factor(*kind)
             target.kind_factor = factor
             if target.deviation != 1.0:
-                target.faded(seconds)
+                target.decay_deviation(seconds)
             factors.setdefault(report.service, []).append(factor)
         self._present = set(known)
         self._note_unproven(known)
@@ -295,25 +295,25 @@
 
     # Other entries.
 
-    def export(self) -> SpeedNews | None:
+    def export(self) -> SpeedUpdate | None:
         """Return all that was learned here, for an entry that was just met."""
         kinds = [
             self._word(kind, evidence)
             for kind, evidence in self._kinds.items()
             if evidence.own >= LEAST_TOLD
         ]
-        return SpeedNews(kinds) if kinds else None
+        return SpeedUpdate(kinds) if kinds else None
 
-    def take_changes(self) -> SpeedNews | None:
+    def take_changes(self) -> SpeedUpdate | None:
         """Return what was learned here since the last call; None if that is nothing."""
         kinds = []
         for kind, evidence in self._kinds.items():
             if evidence.is_news():
                 evidence.told, evidence.told_own = evidence.seen, evidence.own
                 kinds.append(self._word(kind, evidence))
-        return SpeedNews(kinds) if kinds else None
+        return SpeedUpdate(kinds) if kinds else None
 
-    def merge(self, news: SpeedNews) -> list[KindSpeed]:
+    def merge(self, news: SpeedUpdate) -> list[KindSpeed]:
         """Take another entry's word where it knows much more, and return what was taken.
 
         What is taken counts for a few ends, so that those seen here soon weigh more, and is told
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -12,30 +12,30 @@
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, LeaseTimes
 from paddleshunt_core.leased.entrylink import EntryLink
 from paddleshunt_core.leased.evacuation import evacuation_note
-from paddleshunt_core.leased.incarnations import Claim
+from paddleshunt_core.leased.incarnations import HeartbeatClass
 from paddleshunt_core.leased.losses import LossHistory
 from paddleshunt_core.leased.offers import Offers
-from paddleshunt_core.leased.orders import Look, LookAnswer, RunnerAccount, StartAnswer
+from paddleshunt_core.leased.orders import Poll, PollAnswer, RunnerStatus, StartAnswer
+from paddleshunt_core.leased.pausedetector import PauseDetector
 from paddleshunt_core.leased.reporting import Reporter
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.runtable import Run
-from paddleshunt_core.leased.session import Session, good_echo_age
-from paddleshunt_core.leased.standstill import StandStill
+from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
 from paddleshunt_core.leased.wire import (
     Assign,
     Body,
-    Decline,
+    DeclineOffer,
     End,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     Hello,
+    ResourceRequest,
     RunId,
     RunnerState,
     Stop,
     TaskId,
-    Want,
 )
 
 STILL_HEARTBEATS = 2.0
@@ -62,16 +62,16 @@
         self._reporter = Reporter(times, self._control, self._offers)
         self._losses = LossHistory()
         """What this target saw of its own runner, for entries that it meets later."""
-        self._pauses = StandStill(STILL_HEARTBEATS * times.heartbeat)
+        self._pauses = PauseDetector(STILL_HEARTBEATS * times.heartbeat)
         self.sheds = False
         """Whether this host's link is pressed, so that reports that can wait go with heartbeats."""
 
     # What others ask about this target.
 
     @property
-    def account(self) -> RunnerAccount | None:
+    def runner_status(self) -> RunnerStatus | None:
         """The runner's last account of itself."""
-        return self._control.account
+        return self._control.status
 
     @property
     def idle(self) -> bool:
@@ -89,13 +89,13 @@
         Only sessions that are held are renewed all the time.
         """
         held = (link.session for name, link in self._links.items() if self._is_held(name))
-        return good_echo_age(now, (session for session in held if session is not None))
+        return lower_quartile_echo_age(now, (session for session in held if session is not None))
 
     def describe(self, now: float) -> dict[str, object]:
         """Return a summary of the state for a dump."""
         control = self._control
         return {
-            "runner": str(control.account.runner) if control.account else "",
+            "runner": str(control.status.runner) if control.status else "",
             "runs": len(control.table),
             "free": control.free(),
             "health": control.health.level(now).name,
@@ -113,7 +113,7 @@
                     "held": self._is_held(name),
                     "confirmed": link.is_confirmed(now, self._times),
                     "pending": len(link.pending),
-                    "silent_s": round(now - link.heard, 2),
+                    "silent_s": round(now - link.last_received, 2),
                 }
                 for name, link in self._links.items()
                 if link.session
@@ -139,7 +139,7 @@
         link = self._links.get(entry)
         return link.session if link else None
 
-    def opened(self, now: float, hello: Hello, said: float) -> list[Effect]:
+    def greeting_answered(self, now: float, hello: Hello, said: float) -> list[Effect]:
         """Take an entry's answer to the greeting that was sent at `said`.
 
         There is no session then if the one that the greeting named has ended since.
@@ -149,9 +149,9 @@
         if link.has_ended(hello.life, hello.session):
             return [note("session_over", entry=hello.name, session=hello.session)]
         session = link.session
-        if session is not None and link.goes_on(hello.life, hello.session):
+        if session is not None and link.is_current(hello.life, hello.session):
             session.resume(hello.received)
-            link.resumed(now)
+            link.connected(now)
             return [note("session_resumed", entry=hello.name)]
         effects = self._end_session(now, hello.name, "replaced") if session else []
         session = Session(hello.session, int(said * 1000))
@@ -167,22 +167,22 @@
         session = self.session(entry)
         return 0.0 if session is None else session.confirmed_ms / 1000 + self._times.session - now
 
-    def closed(self, now: float, entry: str) -> list[Effect]:
+    def session_refused(self, now: float, entry: str) -> list[Effect]:
         """Take an entry's word that it doesn't go on with the session."""
         return self._end_session(now, entry, "refused") if self.session(entry) else []
 
-    def heard(self, now: float, entry: str, frame: Frame) -> list[Effect]:
+    def frame_received(self, now: float, entry: str, frame: Frame) -> list[Effect]:
         """Take a frame of an entry; one of an ended session is dropped.
 
         Nothing starts before all of the frame is known: it may withdraw what it assigns.
         """
         link = self._links.get(entry)
-        if link is None or link.session is None or link.session.misses(frame):
+        if link is None or link.session is None or link.session.has_gap_before(frame):
             return []
         bodies = link.session.accept(frame)
         if self._is_over(now, entry):
             return self._end_session(now, entry, "silent")
-        link.heard = now
+        link.last_received = now
         effects: list[Effect] = []
         for body in bodies:
             effects += self._take(now, entry, body)
@@ -200,10 +200,10 @@
         for link in self._links.values():
             link.probe()
 
-    def silence(self, now: float, entry: str) -> float:
+    def seconds_silent(self, now: float, entry: str) -> float:
         """Return the seconds since an entry was heard."""
         link = self._links.get(entry)
-        return now - link.heard if link else 0.0
+        return now - link.last_received if link else 0.0
 
     def next_frame(self, now: float, entry: str, *, beat: bool) -> Frame | None:
         """Return the frame that is due to an entry, if any; `beat`: heartbeats may be sent now."""
@@ -214,46 +214,46 @@
 
     # The runner.
 
-    def judge(self, account: RunnerAccount) -> Claim:
+    def classify(self, status: RunnerStatus) -> HeartbeatClass:
         """Return what an account of the runner is worth."""
-        return self._control.lives.judge(account)
+        return self._control.lives.classify(status)
 
     @property
-    def life(self) -> RunnerLife | None:
+    def incarnation(self) -> RunnerIncarnation | None:
         """The life of the runner that is followed."""
         return self._control.lives.current
 
     @property
-    def life_changes(self) -> int:
+    def incarnation_changes(self) -> int:
         """How often that has become another life, or none; one may also be told more of."""
         return self._control.lives.changes
 
-    def life_denied(self, life: RunnerLife) -> None:
+    def incarnation_denied(self, life: RunnerIncarnation) -> None:
         """Note that the runner says it is not this life: it has ended, or is yet to come."""
         self._control.lives.deny(life)
 
-    def runner_spoke(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Take the runner's account of itself."""
-        return self._control.runner_spoke(now, account)
+        return self._control.heartbeat_received(now, status)
 
-    def runner_left(self, now: float, life: RunnerLife) -> list[Effect]:
+    def runner_deregistered(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
-        return self._control.runner_left(now, life)
+        return self._control.runner_deregistered(now, life)
 
-    def next_look(self, now: float) -> Look:
+    def next_poll(self, now: float) -> Poll:
         """Return the look to send now; it counts as sent.
 
         It renews the runner's lease while something is at work and a session's lease is in force.
         """
-        return self._control.next_look(now, renew=self._any_needs_lease(now))
+        return self._control.next_poll(now, renew=self._any_needs_lease(now))
 
-    def looked(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
         """Take the runner's lists of what runs and what has ended."""
-        return self._control.looked(now, answer)
+        return self._control.poll_answered(now, answer)
 
-    def look_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
         """Take a renewal that got no answer, or the answer that another life runs there."""
-        return self._control.look_failed(now, other_life=other_life)
+        return self._control.poll_failed(now, other_life=other_life)
 
     def may_send(self, now: float, id_: RunId, entry: str) -> bool:
         """Whether an order to start may leave now; ask right before it is sent.
@@ -321,7 +321,7 @@
 
     def _notice_pause(self, now: float) -> list[Effect]:
         """Tell of a stand-still: what was decided before it may be out of date."""
-        seconds = self._pauses.moved(now)
+        seconds = self._pauses.observe(now)
         return [note("stood_still", seconds=round(seconds, 2), runs=self.runs)] if seconds else []
 
     def _has_work(self, entry: str) -> bool:
@@ -334,7 +334,7 @@
 
     def _is_over(self, now: float, entry: str) -> bool:
         has_runs = self._control.table.has_entry(entry)
-        return self._links[entry].is_over(now, self._times, has_runs=has_runs)
+        return self._links[entry].has_expired(now, self._times, has_runs=has_runs)
 
     def _any_needs_lease(self, now: float) -> bool:
         return not self.idle and any(
@@ -359,11 +359,11 @@
             case Assign():
                 self._offers.drop(entry)
                 self._assign(now, entry, body)
-            case Decline():
+            case DeclineOffer():
                 self._offers.drop(entry)
-            case EvacuationNews():
+            case EvacuationUpdate():
                 return self._learn(entry, body)
-            case Want():
+            case ResourceRequest():
                 self._offers.want(entry, body.need, now + body.within_ms / 1000)
             case Stop():
                 self._links[entry].withdraw(body.runs)
@@ -375,13 +375,13 @@
                 ]
         return []
 
-    def _learn(self, entry: str, news: EvacuationNews) -> list[Effect]:
+    def _learn(self, entry: str, news: EvacuationUpdate) -> list[Effect]:
         """Follow an entry's word of evacuated halls, or tell it a later one."""
         evacuations = self._control.evacuations
         if evacuations.supersedes(news.evacuated):
             session = self.session(entry)
             if session is not None:
-                session.send(EvacuationNews(evacuations.known))
+                session.send(EvacuationUpdate(evacuations.known))
             return []
         if not evacuations.learn(news.evacuated):
             return []
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/logline.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/logwriter.py
@@ -59,7 +59,7 @@
         self.dropped = 0
 
     @property
-    def holds(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether lines wait to be written."""
         return bool(self._collected)
 
@@ -88,7 +88,7 @@
 
 
 @final
-class LogLines:
+class LogWriter:
     """Writes the events of one process.
 
     With `collect`, lines are written in blocks: what explains a failed request at once, the others
@@ -120,9 +120,9 @@
         return self._handler.dropped
 
     @property
-    def holds(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether lines wait to be written."""
-        return self._handler.holds
+        return self._handler.has_pending
 
     def flush(self) -> None:
         """Write what was collected."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -7,7 +7,7 @@
 
 from paddleshunt_node import listening
 
-MOST_HOST = 253
+MAX_HOST_LENGTH = 253
 """Signs of a host's name, as in DNS; one of its parts has at most `MOST_PART`."""
 
 MOST_PART = 63
@@ -25,14 +25,14 @@
     """Return the host and the port of host:port; raises `AddressError`."""
     host, _, port = address.rpartition(":")
     if not _is_host(host):
-        raise AddressError(f"no host in {address[:MOST_HOST]!r}")
+        raise AddressError(f"no host in {address[:MAX_HOST_LENGTH]!r}")
     if not _PORT.fullmatch(port) or not 0 <= int(port) <= LAST_PORT:
-        raise AddressError(f"no port in {address[:MOST_HOST]!r}")
+        raise AddressError(f"no port in {address[:MAX_HOST_LENGTH]!r}")
     return host, int(port)
 
 
 def _is_host(host: str) -> bool:
-    if len(host) > MOST_HOST or not _HOST.fullmatch(host):
+    if len(host) > MAX_HOST_LENGTH or not _HOST.fullmatch(host):
         return False
     return all(0 < len(part) <= MOST_PART for part in host.split("."))
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -9,28 +9,28 @@
 from paddleshunt_core.leased.wire import EntryAddress
 
 from paddleshunt_node.aio.ports import StorePort, StoreUnavailableError
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 
 ANNOUNCE_SECONDS = 12.0
 """Seconds for which the store keeps this entry's address."""
 
-STORE_PAUSE = 0.3
+STORE_RETRY_SECONDS = 0.3
 """Seconds before the store is called again after a failure."""
 
 
 class Owner(Protocol):
     """The entry that what was found is for."""
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         """Take a configuration."""
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Take the halls that are evacuated."""
 
     def lacks_entries(self) -> bool:
         """Whether other entries are looked for."""
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         """Take another entry's address."""
 
 
@@ -39,10 +39,10 @@
     """Calls the store for one entry; its loops end when they are cancelled."""
 
     def __init__(
-        self, store: StorePort, surroundings: Surroundings, entry: EntryAddress, owner: Owner
+        self, store: StorePort, surroundings: ProcessContext, entry: EntryAddress, owner: Owner
     ) -> None:
         self._store = store
-        self._around = surroundings
+        self._context = surroundings
         self._entry = entry
         self._owner = owner
         self._regained = asyncio.Event()
@@ -52,22 +52,22 @@
         reachable = True
         while True:
             try:
-                word = await self._store.next_word()
+                word = await self._store.next_update()
             except StoreUnavailableError as problem:
                 if reachable:
-                    self._around.event("store_lost", reason=str(problem))
+                    self._context.event("store_lost", reason=str(problem))
                 reachable = False
-                await asyncio.sleep(STORE_PAUSE)
+                await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
             if not reachable:
-                self._around.event("store_regained")
+                self._context.event("store_regained")
                 self._regained.set()
             reachable = True
             # Evacuations first: with a configuration the first job may be placed.
             if word.evacuated is not None:
-                self._owner.learn(word.evacuated, "store")
+                self._owner.apply_evacuations(word.evacuated, "store")
             if word.catalog is not None:
-                self._owner.adopt(word.catalog, "store")
+                self._owner.adopt_catalog(word.catalog, "store")
 
     async def announce(self) -> None:
         """Keep this entry's address in the store; look for others there if none was met.
@@ -80,9 +80,9 @@
                 await self._store.announce(self._entry, ANNOUNCE_SECONDS)
                 if self._owner.lacks_entries():
                     for known in await self._store.entries():
-                        self._owner.met(known)
+                        self._owner.entry_discovered(known)
             except StoreUnavailableError:
-                await asyncio.sleep(STORE_PAUSE)
+                await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
             await self._until_due()
 
@@ -95,4 +95,4 @@
         try:
             await self._store.withdraw()
         except StoreUnavailableError as problem:
-            self._around.event("store_unavailable", reason=str(problem))
+            self._context.event("store_unavailable", reason=str(problem))
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.dispatcher import Dispatcher
 from paddleshunt_core.leased.jobs import JobRequest
-from paddleshunt_core.leased.outcomes import Completed, Failed, GivenUp, HandOn, Refused
+from paddleshunt_core.leased.outcomes import BroadcastLoss, Completed, Failed, GivenUp, Refused
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.wire import (
     Assign,
@@ -251,7 +251,7 @@
     fleet.runners["t0"].restart()
     fleet.runners["t0"].mute = True
     fleet.run(0.4)
-    assert fleet.workers["t0"].account is not None
+    assert fleet.workers["t0"].runner_status is not None
     caller = fleet.submit("e0", "job", count=6, length=0.1)
     fleet.run(0.3)
     assert fleet.answers[caller] == Completed()
@@ -355,17 +355,17 @@
     """A timer may be late, and the loop may not have asked whether the caller is gone."""
     times = lease_times(Bounds())
     dispatcher = Dispatcher(times, "hall", Random(7), caller_delay=0.004)
-    session, _ = dispatcher.greeted(1.0, Hello("t", "life", False, "hall", "", 0, 0))
+    session, _ = dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     assert session is not None
     room = Resources(8000, 8000)
     report = RunnerReport("svc", "i-1", RunnerState.READY, Health.GOOD, room, room)
     dispatcher.submit(1.0, 1, JobRequest("job", "spec", 2, Resources(1000, 64), 0.4, 4.0), QUEUE)
-    dispatcher.heard(1.02, "t", Frame(1, 0, 1020, 0, [report]))
+    dispatcher.handle_frame(1.02, "t", Frame(1, 0, 1020, 0, [report]))
     getattr(dispatcher, woken_by)(1.02)
-    assert dispatcher.awaits_callers
+    assert dispatcher.has_new_jobs
     assert not any(isinstance(body, Assign) for body in session.frame(1020).bodies)
-    dispatcher.place_arrived(1.02)
-    assert not dispatcher.awaits_callers
+    dispatcher.place_new_jobs(1.02)
+    assert not dispatcher.has_new_jobs
     assert any(isinstance(body, Assign) for body in session.frame(1020).bodies)
 
 
@@ -375,17 +375,17 @@
 ) -> None:
     times = lease_times(Bounds())
     dispatcher = Dispatcher(times, "hall", Random(7), caller_delay=0.004)
-    session, _ = dispatcher.greeted(1.0, Hello("t", "life", False, "hall", "", 0, 0))
+    session, _ = dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     assert session is not None
     room = Resources(8000, 8000)
     report = RunnerReport("svc", "i-1", RunnerState.READY, Health.GOOD, room, room)
-    dispatcher.heard(1.0, "t", Frame(1, 0, 1000, 0, [report]))
+    dispatcher.handle_frame(1.0, "t", Frame(1, 0, 1000, 0, [report]))
     session.frame(1000)
     request = JobRequest("job", "spec", 2, Resources(1000, 64), 0.4, 4.0)
     dispatcher.submit(1.01, 1, request, QUEUE)
-    dispatcher.place_arrived(1.01 + leaves_after)
+    dispatcher.place_new_jobs(1.01 + leaves_after)
     dispatcher.caller_left(1.01 + leaves_after, 1)
-    dispatcher.place_arrived(1.02)
+    dispatcher.place_new_jobs(1.02)
     bodies = session.frame(1020).bodies
     assert any(isinstance(body, Assign) for body in bodies) == placed
 
@@ -393,15 +393,15 @@
 def test_a_loss_is_handed_on_by_the_entry_that_a_target_told_only() -> None:
     """If each that hears of it told all, an old loss would never stop being told."""
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(7))
-    dispatcher.greeted(1.0, Hello("t", "life", False, "hall", "", 0, 0))
+    dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     lost = RunnerLost(LossId("i-1", 900), [TaskId("job", 0, 0)], ["q"], [100])
-    told = dispatcher.told_loss(1.0, lost, "t")
-    assert [effect.news for effect in told if isinstance(effect, HandOn)] == [lost]
-    assert dispatcher.told_loss(1.0, lost, "t") == []
+    told = dispatcher.handle_loss_news(1.0, lost, "t")
+    assert [effect.news for effect in told if isinstance(effect, BroadcastLoss)] == [lost]
+    assert dispatcher.handle_loss_news(1.0, lost, "t") == []
     other = RunnerLost(LossId("i-2", 900), [TaskId("job", 0, 0)], ["q"], [100])
-    heard = dispatcher.told_loss(1.0, other, "e1")
+    heard = dispatcher.handle_loss_news(1.0, other, "e1")
     assert heard
-    assert not any(isinstance(effect, HandOn) for effect in heard)
+    assert not any(isinstance(effect, BroadcastLoss) for effect in heard)
 
 
 def test_a_job_that_ran_before_is_not_refused_as_one_that_did_not() -> None:
--- a/testing/core/leased/test_losses.py
+++ b/testing/core/leased/test_losses.py
@@ -8,7 +8,7 @@
     RETENTION_SECONDS,
     LossHistory,
 )
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import LossId, RunnerLost, TaskId
 
 TASK = TaskId("job", 0, 0)
@@ -28,14 +28,14 @@
 
 def test_the_runners_lost_under_a_task_are_named(book: LossHistory) -> None:
     book.learn(2.0, lost("i-2", TASK))
-    assert book.runners(TASK) == [RunnerLife("i-1"), RunnerLife("i-2")]
-    assert book.runners(OTHER) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-1"), RunnerIncarnation("i-2")]
+    assert book.runners(OTHER) == [RunnerIncarnation("i-1")]
     assert book.runners(TaskId("job", 0, 1)) == []
 
 
 def test_a_loss_that_is_told_again_counts_once(book: LossHistory) -> None:
     assert not book.learn(1.1, lost("i-1", TASK, OTHER))
-    assert book.runners(TASK) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-1")]
 
 
 @pytest.mark.parametrize("told_first", ["loss", "return"])
@@ -52,14 +52,14 @@
 def test_a_runner_that_answered_again_may_be_lost_later(book: LossHistory) -> None:
     book.returned(1.1, LossId("i-1", 1000))
     assert book.learn(3.0, lost("i-1", TASK, silent_ms=3000))
-    assert book.runners(TASK) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-1")]
 
 
 def test_a_loss_is_forgotten_after_a_while(book: LossHistory) -> None:
     book.learn(2.0, lost("i-2", TASK))
     known = replace(lost("i-2", TASK), ago_ms=round((RETENTION_SECONDS - 1.0) * 1000))
     assert book.export(1.0 + RETENTION_SECONDS) == [known]
-    assert book.runners(TASK) == [RunnerLife("i-2")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-2")]
 
 
 def test_what_is_handed_on_says_for_how_long_it_has_been_known(book: LossHistory) -> None:
@@ -89,9 +89,9 @@
     book = LossHistory()
     assert book.ended(TASK) == []
     assert all(book.learn(1.0, word) for word in told)
-    assert book.ended(TASK) == [RunnerLife("i-1")]
+    assert book.ended(TASK) == [RunnerIncarnation("i-1")]
     assert book.ended(OTHER) == []
-    assert book.runners(TASK) == book.runners(OTHER) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == book.runners(OTHER) == [RunnerIncarnation("i-1")]
 
 
 def test_an_older_word_does_not_undo_what_is_known() -> None:
@@ -99,7 +99,7 @@
     book.learn(1.0, ENDED)
     assert not book.learn(1.1, lost("i-1", TASK, OTHER))
     assert not book.learn(1.1, ENDED)
-    assert book.ended(TASK) == [RunnerLife("i-1")]
+    assert book.ended(TASK) == [RunnerIncarnation("i-1")]
 
 
 def test_an_end_is_remembered_as_long_as_the_loss_before_it(book: LossHistory) -> None:
@@ -113,7 +113,7 @@
 ) -> None:
     assert book.learn(2.0, lost("i-1", OTHER, silent_ms=1900))
     assert book.runners(TASK) == []
-    assert book.runners(OTHER) == [RunnerLife("i-1")]
+    assert book.runners(OTHER) == [RunnerIncarnation("i-1")]
     assert not book.learn(2.1, lost("i-1", TASK, OTHER))
     assert book.runners(TASK) == []
 
--- a/testing/core/leased/test_odd_frames.py
+++ b/testing/core/leased/test_odd_frames.py
@@ -13,16 +13,17 @@
     Assign,
     Body,
     CatalogVersion,
-    Decline,
+    DeclineOffer,
     End,
     Ended,
     Entries,
     EntryAddress,
     EntryChanges,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     LossId,
+    ResourceRequest,
     RunId,
     RunnerLost,
     RunnerReport,
@@ -30,7 +31,6 @@
     RunnerState,
     Stop,
     TaskId,
-    Want,
 )
 
 FRAMES = 20
@@ -65,8 +65,8 @@
         bodies: list[Body] = [
             Assign(text(), n(), text(), amount(), n(), n(), [(n(), n()), (n(), n())]),
             Stop([self.run()]),
-            Want(amount(), n()),
-            Decline(),
+            ResourceRequest(amount(), n()),
+            DeclineOffer(),
             Ended([(self.run(), rng.choice(list(End)))]),
             RunnerReport(
                 text(),
@@ -80,7 +80,7 @@
             Entries([EntryAddress(text(), text())]),
             EntryChanges([EntryAddress(text(), text())], [text()]),
             CatalogVersion(n()),
-            EvacuationNews(EvacuatedHalls(n(), (text(),))),
+            EvacuationUpdate(EvacuatedHalls(n(), (text(),))),
             RunnerLost(LossId(text(), n()), [self.task()]),
             RunnerReturned(LossId(text(), n())),
         ]
@@ -102,10 +102,10 @@
     dispatcher, worker = fleet.dispatchers["e0"], fleet.workers["t0"]
     now_ms = int(fleet.now * 1000)
     for _ in range(FRAMES):
-        dispatcher.heard(fleet.now, "t0", odd.frame(now_ms, dispatcher.session("t0")))
+        dispatcher.handle_frame(fleet.now, "t0", odd.frame(now_ms, dispatcher.session("t0")))
         dispatcher.place_waiting(fleet.now)
         dispatcher.tick(fleet.now)
-        worker.heard(fleet.now, "e0", odd.frame(now_ms, worker.session("e0")))
+        worker.frame_received(fleet.now, "e0", odd.frame(now_ms, worker.session("e0")))
         worker.tick(fleet.now)
         worker.prepare_frames(fleet.now)
         for session in (dispatcher.session("t0"), worker.session("e0")):
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("amount", [MAX_AMOUNT + 1, -MAX_AMOUNT - 1, 2**63, 2**64 - 1])
 def test_an_amount_that_sums_could_not_be_sent_of_is_no_message(amount: int) -> None:
-    raw = msgspec.msgpack.encode(Frame(1, 0, 0, 0, [Want(Resources(amount), 5)]))
+    raw = msgspec.msgpack.encode(Frame(1, 0, 0, 0, [ResourceRequest(Resources(amount), 5)]))
     with pytest.raises(msgspec.ValidationError, match="Expected `int`"):
         msgspec.msgpack.decode(raw, type=Frame)
 
@@ -131,7 +131,7 @@
     ends = [(RunId(TaskId("job", 0, index), 1), end) for index in (-1, -3, 3, 2**63)]
     now_ms = int(fleet.now * 1000)
     frame = Frame(session.received + 1, 0, now_ms, now_ms, [Ended(ends)])
-    fleet.dispatchers["e0"].heard(fleet.now, "t0", frame)
+    fleet.dispatchers["e0"].handle_frame(fleet.now, "t0", frame)
     session.received -= 1
     fleet.run(1.0)
     assert fleet.answers[caller] == Completed()
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -36,8 +36,8 @@
 def chosen(now: float, asked: JobRecord, *targets: TargetRecord) -> str:
     """Return the name of the target that the job's first task goes to, or nothing."""
     placement = Placement("hall", Random(1), 1.5)
-    able = placement.able(asked, list(targets))
-    found = placement.choose(now, asked, asked.tasks[0], able) if able else None
+    eligible = placement.eligible(asked, list(targets))
+    found = placement.choose(now, asked, asked.tasks[0], eligible) if eligible else None
     return found.name if found else ""
 
 
@@ -79,10 +79,10 @@
 def test_tasks_of_a_job_that_are_placed_together_are_spread() -> None:
     placement = Placement("hall", Random(1), 1.5)
     asked = job(spread=2, count=5)
-    able = placement.able(asked, [target("t1"), target("t2")])
+    eligible = placement.eligible(asked, [target("t1"), target("t2")])
     names = []
     for task in asked.tasks:
-        found = placement.choose(10.0, asked, task, able)
+        found = placement.choose(10.0, asked, task, eligible)
         if found is not None:
             task.target, task.phase = found.name, TaskPhase.PLACED
             found.reserve(asked.request.need)
@@ -151,7 +151,7 @@
 ) -> None:
     targets = [of_kind("fast", FAST, free=free), of_kind("slow", SLOW)]
     for record in targets:
-        record.connected, record.heard = True, 10.0 + after
+        record.connected, record.last_received = True, 10.0 + after
         record.session = Session(1, 0)
     room = TargetSnapshot(10.0 + after, targets, lease_times(Bounds()))
     held = Placement("hall", Random(1), 1.5).awaits_kind(10.0 + after, job(), room)
@@ -199,7 +199,7 @@
 ) -> None:
     targets = [fast, large(of_kind("slow", SLOW, "b"))]
     for record in targets:
-        record.connected, record.heard = True, 10.1
+        record.connected, record.last_received = True, 10.1
         record.session = Session(1, 0)
     room = TargetSnapshot(10.1, targets, lease_times(Bounds()))
     assert chosen(10.1, asked, *targets) == "slow"
@@ -291,7 +291,7 @@
     there = of_kind("there", 1.0, hall="other")
     placement = Placement("hall", Random(1), 1.5, hall_preference=preference)
     asked = job()
-    found = placement.choose(10.0, asked, asked.tasks[0], placement.able(asked, [here, there]))
+    found = placement.choose(10.0, asked, asked.tasks[0], placement.eligible(asked, [here, there]))
     assert found is not None
     assert found.name == expected
 
@@ -300,10 +300,10 @@
     placement = Placement("hall", Random(1), 1.5, hall_preference=0.4)
     targets = [of_kind(f"t{number}", 1.0, hall="other") for number in range(6)]
     asked = job(count=3)
-    able = placement.able(asked, targets)
+    eligible = placement.eligible(asked, targets)
     names = set()
     for task in asked.tasks:
-        found = placement.choose(10.0, asked, task, able)
+        found = placement.choose(10.0, asked, task, eligible)
         assert found is not None
         found.reserve(asked.request.need)
         names.add(found.name)
@@ -315,8 +315,8 @@
 
 def chosen_far(now: float, asked: JobRecord, factor: float, *targets: TargetRecord) -> str:
     placement = Placement("hall", Random(1), factor)
-    able = placement.able(asked, list(targets))
-    found = placement.choose(now, asked, asked.tasks[0], able) if able else None
+    eligible = placement.eligible(asked, list(targets))
+    found = placement.choose(now, asked, asked.tasks[0], eligible) if eligible else None
     return found.name if found else ""
 
 
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -9,10 +9,10 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.entrylink import REPORT_SECONDS
 from paddleshunt_core.leased.offers import OFFER_SECONDS
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
 from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, RunnerReport, Want
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
+from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, ResourceRequest, RunnerReport
 from paddleshunt_core.leased.worker import Worker
 
 TIMES = lease_times(Bounds())
@@ -27,12 +27,14 @@
         self.now = 1.0
         self.worker = Worker(TIMES)
         room = Resources(6 * TASK.processor, 1000)
-        account = RunnerAccount(RunnerLife("i-1"), "svc", "hall", room, False, None)
-        self.worker.runner_spoke(0.9, account)
-        self.worker.looked(0.95, LookAnswer(0.92, [], []))
+        status = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", room, False, None)
+        self.worker.heartbeat_received(0.9, status)
+        self.worker.poll_answered(0.95, PollAnswer(0.92, [], []))
         self.numbers = dict.fromkeys(ENTRIES, 1)
         for number, entry in enumerate(ENTRIES):
-            self.worker.opened(1.0, Hello(entry, "life", True, "hall", "", number + 1, 0), 1.0)
+            self.worker.greeting_answered(
+                1.0, Hello(entry, "life", True, "hall", "", number + 1, 0), 1.0
+            )
         self.shown: dict[str, Resources] = {}
         if busy:
             runs = [(index, 1) for index in range(busy)]
@@ -41,11 +43,13 @@
 
     def hear(self, entry: str, body: Body) -> None:
         stamp = int(self.now * 1000)
-        self.worker.heard(self.now, entry, Frame(self.numbers[entry], 0, stamp, stamp, [body]))
+        self.worker.frame_received(
+            self.now, entry, Frame(self.numbers[entry], 0, stamp, stamp, [body])
+        )
         self.numbers[entry] += 1
 
     def want(self, entry: str, need: Resources, within_ms: int) -> None:
-        self.hear(entry, Want(need, within_ms))
+        self.hear(entry, ResourceRequest(need, within_ms))
 
     def tell(self) -> None:
         """Let reports leave that are due, and note what each entry is shown by its last one."""
--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -12,11 +12,11 @@
 from paddleshunt_council.runner import Runner
 from paddleshunt_council.store import Store
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
-from paddleshunt_node.aio.httpclient import Answer, CallError, HttpClient
-from paddleshunt_node.aio.logline import LogLines
-from paddleshunt_node.aio.measures import Measures
+from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse
+from paddleshunt_node.aio.logwriter import LogWriter
+from paddleshunt_node.aio.metrics import Metrics
 from paddleshunt_node.aio.ports import RunnerPort
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_node.aio.targetservice import TargetConfig, TargetService
 from paddleshunt_platform.standins.ports import free_port
 from standins import RunnerStandIn, StoreStandIn
@@ -122,8 +122,8 @@
         self.callers = f"127.0.0.1:{free_port()}"
         self.ready = f"127.0.0.1:{free_port()}"
         self.registration = f"127.0.0.1:{free_port()}"
-        self.entry_around = Surroundings(LogLines("info"), Measures())
-        self.target_around = Surroundings(LogLines("info"), Measures())
+        self.entry_around = ProcessContext(LogWriter("info"), Metrics())
+        self.target_around = ProcessContext(LogWriter("info"), Metrics())
 
     async def start(self) -> None:
         await self.store.start()
@@ -175,7 +175,7 @@
         self.check_runs()
         return (await call(self.ready, "GET", "/paddleshunt/readiness")).status == 200
 
-    async def submit(self, key: str, milliseconds: int, *, wait: float = 10.0) -> Answer:
+    async def submit(self, key: str, milliseconds: int, *, wait: float = 10.0) -> HttpResponse:
         step = {"count": 3, "cpu": 1000, "mem_mb": 10, "estimated_ms": milliseconds}
         job = {"spec": str(milliseconds), "steps": [step], "best_effort": True}
         return await HttpClient(self.callers).call(
@@ -197,7 +197,7 @@
         await asyncio.gather(self.entry_run, self.target_run, return_exceptions=True)
 
 
-async def call(address: str, method: str, path: str, body: bytes = b"") -> Answer:
+async def call(address: str, method: str, path: str, body: bytes = b"") -> HttpResponse:
     return await HttpClient(address).call(method, path, 5.0, body)
 
 
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -3,13 +3,13 @@
 import json
 
 import pytest
-from paddleshunt_core.leased.orders import RunnerAccount
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.orders import RunnerStatus
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
 from paddleshunt_node.aio.httpserver import Request, Response
-from paddleshunt_node.aio.ports import RunnerEnds
+from paddleshunt_node.aio.ports import RunnerDeregistration
 
 BEAT = (
     b'{"service":"s","address":"10.0.0.9:8080","zone":"hall","state":"draining","remaining_ms":1500,'
@@ -23,8 +23,8 @@
 
 
 def test_a_heartbeat_is_an_account() -> None:
-    assert read("/paddleshunt/Instances.Heartbeat/i-7", BEAT) == RunnerAccount(
-        RunnerLife("i-7"),
+    assert read("/paddleshunt/Instances.Heartbeat/i-7", BEAT) == RunnerStatus(
+        RunnerIncarnation("i-7"),
         "s",
         "hall",
         Resources(16000, 32768, 1),
@@ -42,7 +42,7 @@
 )
 def test_a_runner_says_that_it_ends(body: bytes, born: int) -> None:
     ends = read("/paddleshunt/Instances.Deregister/i-7", body)
-    assert ends == RunnerEnds(RunnerLife("i-7", born))
+    assert ends == RunnerDeregistration(RunnerIncarnation("i-7", born))
 
 
 ODD_STARTS = [b"null", b'"17"', b"1.5", b"-1", b"true", b"[17]", b"9" * 30]
@@ -59,8 +59,8 @@
 
 def test_a_heartbeat_names_its_life() -> None:
     account = read(HEARTBEAT + "i-7", beat(born=17))
-    assert isinstance(account, RunnerAccount)
-    assert account.runner == RunnerLife("i-7", 17)
+    assert isinstance(account, RunnerStatus)
+    assert account.runner == RunnerIncarnation("i-7", 17)
 
 
 @pytest.mark.parametrize(
@@ -138,8 +138,8 @@
     request = Request("POST", HEARTBEAT + "i-7", {}, beat(**{field: value}))
     account = Registration(refused.append).read(request)
     assert account == read(HEARTBEAT + "i-7", beat(**{field: None}))
-    assert isinstance(account, RunnerAccount) and account.leaving
-    assert [(one.word, one.sender) for one in refused] == [(Word.HEARTBEAT, "i-7")]
+    assert isinstance(account, RunnerStatus) and account.leaving
+    assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
 
 
 def test_fields_that_may_be_added_later_are_passed_over() -> None:
@@ -149,7 +149,7 @@
 
 def test_a_runner_may_say_that_it_has_no_room() -> None:
     account = read(HEARTBEAT + "i-7", beat(capacity={"cpu": 0, "mem_mb": 0}))
-    assert isinstance(account, RunnerAccount)
+    assert isinstance(account, RunnerStatus)
     assert account.capacity == Resources()
 
 
@@ -169,5 +169,5 @@
     refused: list[Refusal] = []
     request = Request("POST", HEARTBEAT + "i-7", {}, beat(state="warming"))
     Registration(refused.append).read(request)
-    assert [(one.word, one.sender) for one in refused] == [(Word.HEARTBEAT, "i-7")]
+    assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
     assert "warming" in refused[0].problem and "state" in refused[0].problem
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -5,9 +5,9 @@
 import pytest
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
 from paddleshunt_core.leased.resources import NO_RESOURCES
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Frame, Hello
 from paddleshunt_core.leased.worker import Worker
 from paddleshunt_node.aio.framing import PeerLink
@@ -111,14 +111,14 @@
     """They often fall silent together; heartbeats of idle sessions are far apart."""
     times = lease_times(Bounds())
     worker = Worker(times)
-    worker.runner_spoke(
-        0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", NO_RESOURCES, False, None)
+    worker.heartbeat_received(
+        0.9, RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", NO_RESOURCES, False, None)
     )
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
-        worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
+        worker.greeting_answered(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
         assert worker.next_frame(1.0, entry, beat=True) is not None
-        worker.heard(1.001, entry, Frame(1, 0, 1000, 1000, []))
+        worker.frame_received(1.001, entry, Frame(1, 0, 1000, 1000, []))
     assert worker.next_frame(1.3, "b", beat=True) is None
     worker.probe()
     assert worker.next_frame(1.3, "b", beat=True) is not None
--- a/testing/council/test_standstill.py
+++ b/testing/council/test_standstill.py
@@ -5,8 +5,8 @@
 
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.orders import Poll, PollAnswer, StartAnswer, StartRun, StopRun
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
 
 BOUNDS = Bounds()
@@ -26,11 +26,11 @@
         self.orders: list[StartRun] = []
         self.answers: list[StartAnswer] = []
 
-    def expect(self, life: RunnerLife | None) -> None:
+    def expect(self, life: RunnerIncarnation | None) -> None:
         self._port.expect(life)
 
-    def rename(self, life: RunnerLife) -> None:
-        self._port.rename(life)
+    def refine_identity(self, life: RunnerIncarnation) -> None:
+        self._port.refine_identity(life)
 
     def supersede(self) -> None:
         self._port.supersede()
@@ -46,7 +46,7 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
+    async def look(self, look: Poll) -> PollAnswer | OtherLife | Superseded | None:
         return await self._port.look(look)
 
 
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -17,16 +17,16 @@
 from paddleshunt_core.leased.dispatcher import AnswerJob, Dispatcher
 from paddleshunt_core.leased.jobs import JobRequest
 from paddleshunt_core.leased.orders import (
-    RunnerAccount,
+    RunnerStatus,
     StartAnswer,
     StartRun,
     StopRun,
     Supersede,
 )
-from paddleshunt_core.leased.outcomes import Failed, HandOn, JobOutcome
+from paddleshunt_core.leased.outcomes import BroadcastLoss, Failed, JobOutcome
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.wire import Frame, Hello, SpeedNews, TaskId
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
+from paddleshunt_core.leased.wire import Frame, Hello, SpeedUpdate, TaskId
 from paddleshunt_core.leased.worker import Worker
 
 STEP = 0.01
@@ -64,7 +64,7 @@
 class Call:
     """What a target's call bears: the life that it means, none for any, and its token."""
 
-    life: RunnerLife | None
+    incarnation: RunnerIncarnation | None
     token: int
 
 
@@ -110,7 +110,7 @@
         self.events: list[tuple[float, str, str]] = []
         self._late_orders: list[tuple[float, str, Call, StartRun]] = []
         self._calls = dict.fromkeys(self.targets, Call(None, 1))
-        self._meant: dict[tuple[str, str], RunnerLife] = {}
+        self._meant: dict[tuple[str, str], RunnerIncarnation] = {}
         """The last life that a target meant by an id; the token rises when it returns."""
         self._requests: dict[str, JobRequest] = {}
         self._queues: dict[str, Queue] = {}
@@ -319,11 +319,13 @@
         target, entry = pair
         dispatcher = self.dispatchers[entry]
         if isinstance(message, Frame):
-            self._act_entry(entry, dispatcher.heard(self.now, target, message))
+            self._act_entry(entry, dispatcher.handle_frame(self.now, target, message))
             self._act_entry(entry, dispatcher.place_waiting(self.now))
-            link.answers = link.answers or dispatcher.owes_answer(self.now, target, message)
+            link.answers = link.answers or dispatcher.needs_immediate_reply(
+                self.now, target, message
+            )
             return
-        session, effects = dispatcher.greeted(self.now, message)
+        session, effects = dispatcher.handle_hello(self.now, message)
         self._act_entry(entry, effects)
         number, received = (session.number, session.received) if session else (0, 0)
         life = str(self.entries[entry].life)
@@ -336,11 +338,11 @@
         worker = self.workers[target]
         link.heard = self.now
         if isinstance(message, Frame):
-            self._act_target(target, worker.heard(self.now, entry, message))
+            self._act_target(target, worker.frame_received(self.now, entry, message))
         elif message.session:
-            self._act_target(target, worker.opened(self.now, message, link.said))
+            self._act_target(target, worker.greeting_answered(self.now, message, link.said))
         else:
-            self._act_target(target, worker.closed(self.now, entry))
+            self._act_target(target, worker.session_refused(self.now, entry))
         session = worker.session(entry)
         refused = isinstance(message, Hello) and session and session.number != message.session
         if session is None or refused:
@@ -375,9 +377,9 @@
 
     def _step_entry(self, name: str) -> None:
         dispatcher = self.dispatchers[name]
-        due = dispatcher.answer_due()
+        due = dispatcher.next_confirmation_deadline()
         if due is not None and self.now >= due:
-            self._act_entry(name, dispatcher.check_answers(self.now))
+            self._act_entry(name, dispatcher.check_confirmations(self.now))
         self._act_entry(name, dispatcher.tick(self.now))
 
     def _step_target(self, name: str) -> None:
@@ -385,7 +387,7 @@
         runner = self.runners[name]
         if runner.up and self.now >= self._beats.get(name, 0.0):
             self._beats[name] = self.now + 0.3
-            account = RunnerAccount(
+            account = RunnerStatus(
                 runner.named(name),
                 "svc",
                 "hall",
@@ -396,30 +398,34 @@
                 cold=max(0.0, runner.cold_until - self.now),
                 kind=runner.kind,
             )
-            self._act_target(name, worker.runner_spoke(self.now, account))
+            self._act_target(name, worker.heartbeat_received(self.now, account))
         self._act_target(name, worker.tick(self.now))
-        look = worker.next_look(self.now)
+        look = worker.next_poll(self.now)
         call = self._call(name)
         if not runner.up or runner.mute:
-            self._act_target(name, worker.look_failed(self.now))
-        elif call.life is not None and not call.life.shares_id(runner.named(name)):
-            self._act_target(name, worker.look_failed(self.now, other_life=True))
+            self._act_target(name, worker.poll_failed(self.now))
+        elif call.incarnation is not None and not call.incarnation.has_same_id(runner.named(name)):
+            self._act_target(name, worker.poll_failed(self.now, other_life=True))
         elif not runner.hears(call.token):
-            self._act_target(name, worker.look_failed(self.now))
+            self._act_target(name, worker.poll_failed(self.now))
         else:
             until = None if look.until is None else self._until(name, call, look.until)
             answer = runner.look(self.now, look.last_seen, until)
-            self._act_target(name, worker.looked(self.now + STEP / 2, answer))
+            self._act_target(name, worker.poll_answered(self.now + STEP / 2, answer))
 
     def _call(self, name: str) -> Call:
         """Return what a call that a target makes now bears: the life it means, and its token."""
-        life, last = self.workers[name].life, self._calls[name]
-        if life != last.life:
-            before = None if life is None else self._meant.get((name, life.id))
-            returned = life is not None and before is not None and not life.agrees(before)
-            self._calls[name] = Call(life, last.token + returned)
-            if life is not None:
-                self._meant[name, life.id] = life
+        incarnation, last = self.workers[name].incarnation, self._calls[name]
+        if incarnation != last.incarnation:
+            before = None if incarnation is None else self._meant.get((name, incarnation.id))
+            returned = (
+                incarnation is not None
+                and before is not None
+                and not incarnation.may_be_same(before)
+            )
+            self._calls[name] = Call(incarnation, last.token + returned)
+            if incarnation is not None:
+                self._meant[name, incarnation.id] = incarnation
         return self._calls[name]
 
     def _until(self, name: str, call: Call, until: float) -> float:
@@ -427,7 +433,7 @@
 
         Another life's clock starts anew: it is far behind, and the lease is cut to the longest.
         """
-        meant, runner = call.life, self.runners[name]
+        meant, runner = call.incarnation, self.runners[name]
         if meant is None or meant == runner.named(name):
             return until
         return self.now + self.bounds.hold_max
@@ -435,7 +441,7 @@
     def _start(self, name: str, call: Call, order: StartRun) -> StartAnswer:
         """Let a runner carry an order out that was meant so."""
         runner = self.runners[name]
-        if call.life is not None and not call.life.shares_id(runner.named(name)):
+        if call.incarnation is not None and not call.incarnation.has_same_id(runner.named(name)):
             return StartAnswer.OTHER_LIFE
         meant = replace(order, until=self._until(name, call, order.until))
         return runner.start(self.now, meant, call.token)
@@ -477,7 +483,7 @@
                 self.answered_at[effect.caller] = self.now
                 if isinstance(effect.outcome, Failed) and not self._has_failed(effect.key):
                     self.wrongly_failed.append(effect.key)
-            elif isinstance(effect, HandOn):
+            elif isinstance(effect, BroadcastLoss):
                 self._hand_on(name, effect)
             else:
                 self._note(effect)
@@ -487,11 +493,11 @@
         tasks = [TaskId(key, 0, index) for index in range(self._requests[key].count)]
         return any(self.crashes.failed[task] >= self._queues[key].max_attempts for task in tasks)
 
-    def _hand_on(self, name: str, effect: HandOn) -> None:
+    def _hand_on(self, name: str, effect: BroadcastLoss) -> None:
         for other, node in self.entries.items():
             if other != name and node.moves:
                 dispatcher = self.dispatchers[other]
-                self._act_entry(other, dispatcher.told_loss(self.now, effect.news, name))
+                self._act_entry(other, dispatcher.handle_loss_news(self.now, effect.news, name))
 
     def _tell_speeds(self) -> None:
         for name, node in self.entries.items():
@@ -500,10 +506,10 @@
                 if other != name and theirs.moves:
                     self._hear_speeds(other, news, name)
 
-    def _hear_speeds(self, name: str, news: SpeedNews | None, source: str) -> None:
+    def _hear_speeds(self, name: str, news: SpeedUpdate | None, source: str) -> None:
         if news is not None:
             dispatcher = self.dispatchers[name]
-            self._act_entry(name, dispatcher.told_speeds(self.now, news, source))
+            self._act_entry(name, dispatcher.handle_speed_news(self.now, news, source))
 
     def _note(self, log: object) -> None:
         self.events.append((self.now, log.event, log.submission))  # type: ignore[attr-defined]
--- a/testing/node/aio/test_dialer.py
+++ b/testing/node/aio/test_dialer.py
@@ -17,19 +17,19 @@
     def __init__(self) -> None:
         self.made = asyncio.Event()
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         self.made.set()
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         pass
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         pass
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         pass
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         pass
 
 
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -9,12 +9,12 @@
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
 from paddleshunt_core.leased.catalogsync import ASK_SECONDS
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import (
-    CatalogNews,
+    CatalogUpdate,
     CatalogVersion,
     Entries,
     EntryAddress,
@@ -24,14 +24,14 @@
     Hello,
     KindSpeed,
     LossId,
-    LossNews,
+    LossUpdate,
     PackedCatalog,
     RunnerLost,
     RunnerReport,
     RunnerReturned,
     RunnerSilent,
     RunnerState,
-    SpeedNews,
+    SpeedUpdate,
     TaskId,
 )
 from paddleshunt_node.aio import entrypeers
@@ -59,8 +59,8 @@
         self.targets: list[tuple[int, str]] = []
         self.losses = [LOST]
         self.speeds = Speeds()
-        self.told_kinds: list[tuple[SpeedNews, str]] = []
-        self.heard: list[tuple[LossNews, str]] = []
+        self.told_kinds: list[tuple[SpeedUpdate, str]] = []
+        self.heard: list[tuple[LossUpdate, str]] = []
         self.refused: list[Refusal] = []
         self.adopted: list[tuple[Catalog, str]] = []
         self.asked: list[str] = []
@@ -69,7 +69,7 @@
     def refuse(self, refusal: Refusal) -> None:
         self.refused.append(refusal)
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.adopted.append((catalog, source))
 
     def asked_for_catalog(self, peer: str) -> None:
@@ -78,7 +78,7 @@
     def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
         self.handed_out.append((peer, packed_bytes))
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         pass
 
     def found(self, entry: EntryAddress) -> None:
@@ -93,10 +93,10 @@
     def told_targets(self, targets: int, source: str) -> None:
         self.targets.append((targets, source))
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def told_loss(self, news: LossUpdate, source: str) -> None:
         self.heard.append((news, source))
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def told_speeds(self, news: SpeedUpdate, source: str) -> None:
         self.told_kinds.append((news, source))
 
     def tell_targets(self, changes: EntryChanges) -> None:
@@ -196,7 +196,7 @@
         gossip.cancel()
         link.peer = "e7"
         for frame in link.frames:
-            peers.heard(cast("PeerLink", link), frame)
+            peers.frame_received(cast("PeerLink", link), frame)
         assert owner.targets == [(43, "e7")]
 
     play(monkeypatch, [link], scene)
@@ -242,10 +242,10 @@
         peers.tell_catalog(owner.catalog)
         for link in links:
             # As its rounds of gossip say until the store has told it as well.
-            peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [CatalogVersion(6)]))
+            peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [CatalogVersion(6)]))
         await asyncio.sleep(ROUND)
         bodies = [body for link in links for frame in link.frames for body in frame.bodies]
-        assert not [body for body in bodies if isinstance(body, CatalogNews)]
+        assert not [body for body in bodies if isinstance(body, CatalogUpdate)]
         assert bodies.count(CatalogVersion(7)) == len(links)
 
     play(monkeypatch, links, scene)
@@ -262,7 +262,7 @@
         peers.tell_catalog(owner.catalog)
         for _ in range(2):
             question = Frame(1, 0, 0, 0, [CatalogVersion(6, wanted=True)])
-            peers.heard(cast("PeerLink", link), question)
+            peers.frame_received(cast("PeerLink", link), question)
         await asyncio.sleep(4 * entrypeers.SPREAD_PAUSE)
         assert [unpack(body) for body in packed(link)] == [owner.catalog]
         assert owner.handed_out == [("e7", len(pack(owner.catalog).content))]
@@ -279,7 +279,7 @@
         for number, link in enumerate(links):
             link.peer = f"e{number}"
             version = CatalogVersion(number)
-            peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
+            peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
         await asyncio.sleep(ASK_SECONDS[1] + 4 * entrypeers.SPREAD_PAUSE)
         asked = [link.peer for link in links if link.frames]
         assert len(asked) == 1
@@ -297,10 +297,10 @@
     catalog = Catalog(7, [], [])
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        for body in (pack(catalog), CatalogNews(catalog), PackedCatalog(8, b"odd")):
-            peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [body]))
+        for body in (pack(catalog), CatalogUpdate(catalog), PackedCatalog(8, b"odd")):
+            peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [body]))
         assert owner.adopted == [(catalog, "e7")] * 2
-        assert [refusal.word for refusal in owner.refused] == [Word.CONFIGURATION]
+        assert [refusal.kind for refusal in owner.refused] == [InputKind.CONFIGURATION]
 
     play(monkeypatch, [], scene)
 
@@ -312,7 +312,7 @@
 
 @pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_a_word_on_a_lost_runner_goes_to_all_other_entries(
-    monkeypatch: pytest.MonkeyPatch, news: LossNews
+    monkeypatch: pytest.MonkeyPatch, news: LossUpdate
 ) -> None:
     links = [Link(), Link()]
 
@@ -329,7 +329,7 @@
     link = Link()
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        peers.opened(link)  # type: ignore[arg-type]
+        peers.connection_opened(link)  # type: ignore[arg-type]
         assert LOST in link.frames[-1].bodies
 
     play(monkeypatch, [], scene)
@@ -337,19 +337,19 @@
 
 @pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_another_entrys_word_on_a_lost_runner_is_followed(
-    monkeypatch: pytest.MonkeyPatch, news: LossNews
+    monkeypatch: pytest.MonkeyPatch, news: LossUpdate
 ) -> None:
     link = Link()
     link.peer = "e7"
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        peers.heard(link, Frame(1, 0, 0, 0, [news]))  # type: ignore[arg-type]
+        peers.frame_received(link, Frame(1, 0, 0, 0, [news]))  # type: ignore[arg-type]
         assert owner.heard == [(news, "e7")]
 
     play(monkeypatch, [], scene)
 
 
-KINDS = SpeedNews([KindSpeed("svc", "b", 1700, 120)])
+KINDS = SpeedUpdate([KindSpeed("svc", "b", 1700, 120)])
 
 
 def learned(speeds: Speeds) -> None:
@@ -372,7 +372,7 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         learned(owner.speeds)
-        peers.opened(link)  # type: ignore[arg-type]
+        peers.connection_opened(link)  # type: ignore[arg-type]
         assert owner.speeds.export() in link.frames[-1].bodies
 
     play(monkeypatch, [], scene)
@@ -390,7 +390,7 @@
         task.cancel()
 
     play(monkeypatch, links, scene)
-    told = [body for frame in links[0].frames for body in frame.bodies if type(body) is SpeedNews]
+    told = [body for frame in links[0].frames for body in frame.bodies if type(body) is SpeedUpdate]
     assert len(told) == 1
 
 
@@ -401,7 +401,7 @@
     link.peer = "e7"
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        peers.heard(link, Frame(1, 0, 0, 0, [KINDS]))  # type: ignore[arg-type]
+        peers.frame_received(link, Frame(1, 0, 0, 0, [KINDS]))  # type: ignore[arg-type]
         assert owner.told_kinds == [(KINDS, "e7")]
 
     play(monkeypatch, [], scene)
