--- a/benchmarks/containment.py
+++ b/benchmarks/containment.py
@@ -195,7 +195,7 @@
 ) -> tuple[Outcome, int, int]:
     """Play one seed; return answers, runners lost, and wrong confinements at all entries."""
     rng = Random(seed)
-    dispatcher.Containment, bulkhead.SHARE = WAYS[way]  # type: ignore[misc]
+    dispatcher.Containment, bulkhead.TARGET_SHARE = WAYS[way]  # type: ignore[misc]
     Way.confined.clear()
     fleet = Fleet(entries=4, targets=11)
     fleet.check = lambda: None  # type: ignore[method-assign]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
@@ -1,7 +1,7 @@
-"""The few targets that a confined queue may use.
+"""The subset of targets that a confined queue may use.
 
-Entries choose them alike without a word to one another: those that stand first by a hash of the
-queue's and the target's name.
+Rendezvous hashing of the queue's and the targets' names makes all entries choose the same ones
+without coordination.
 """
 
 from collections.abc import Iterable
@@ -11,62 +11,59 @@
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import RunnerState
 
-SHARE = 0.2
-"""Share of a service's targets that a confined queue may use; it has one at least.
+TARGET_SHARE = 0.2
+"""Share of a service's targets that a confined queue may use; at least one target."""
 
-Each of them is a runner lost in each time that a runner needs to come back.
-"""
-
-STAY_SECONDS = 5.0
-"""Seconds for which a target whose runner is away keeps its place.
+DOWN_GRACE_SECONDS = 5.0
+"""Seconds for which a target whose runner is down stays in the bulkhead.
 
-If it lost it at once the queue's tasks would go on to one runner after another.
+Replacing it at once would expose one runner after another to the queue's tasks.
 """
 
 
 @final
 class Bulkhead:
-    """The targets of one queue, of those of its service. Times are steady seconds."""
+    """The targets chosen for one queue among those of its service. Times are monotonic seconds."""
 
     def __init__(self, queue: str, service: str) -> None:
         self._queue = queue
         self.service = service
         self._ranks: dict[str, int] = {}
-        """Places in the order of choice of all targets that had one once."""
-        self._placed: set[str] = set()
-        """Targets that had a place once."""
-        self._away: dict[str, float] = {}
-        """Since when the runner of a target is away that had its place before."""
+        """Rendezvous ranks by target."""
+        self._eligible_once: set[str] = set()
+        """Targets that were eligible at some time."""
+        self._down_since: dict[str, float] = {}
+        """When the runner of a target that was eligible went down."""
         self.members: frozenset[str] = frozenset()
         self.known = 0
-        """Targets of the service that have a place, in the bulkhead or beside it."""
+        """Number of eligible targets of the service, inside the bulkhead or outside."""
 
     def choose(self, now: float, targets: Iterable[TargetRecord], width: int) -> None:
-        """Choose `width` times the usual share of the service's targets."""
-        placed = [target.name for target in targets if self._has_place(now, target)]
-        self._placed.update(placed)
+        """Choose `width` times the usual share of the service's eligible targets."""
+        placed = [target.name for target in targets if self._is_eligible(now, target)]
+        self._eligible_once.update(placed)
         self.known = len(placed)
-        count = width * max(1, round(SHARE * self.known))
+        count = width * max(1, round(TARGET_SHARE * self.known))
         self.members = frozenset(sorted(placed, key=self._rank)[:count])
 
-    def leaves_little(self) -> bool:
-        """Whether it has so many of the targets that it protects nobody any more."""
+    def is_too_wide(self) -> bool:
+        """Whether it holds at least half of the targets, too many to protect other queues."""
         return 2 * len(self.members) >= self.known
 
-    def _has_place(self, now: float, target: TargetRecord) -> bool:
-        """Whether a target's runner takes work, or has been away for a moment only."""
+    def _is_eligible(self, now: float, target: TargetRecord) -> bool:
+        """Whether a target's runner accepts work, or went down only recently."""
         report = target.report
         if report is None:
-            return target.name in self._placed and self._may_return(now, target.name)
+            return target.name in self._eligible_once and self._in_grace_period(now, target.name)
         if report.service != self.service:
             return False
         if report.state is RunnerState.READY:
-            self._away.pop(target.name, None)
+            self._down_since.pop(target.name, None)
             return True
-        return report.state is RunnerState.DOWN and self._may_return(now, target.name)
+        return report.state is RunnerState.DOWN and self._in_grace_period(now, target.name)
 
-    def _may_return(self, now: float, target: str) -> bool:
-        return now < self._away.setdefault(target, now) + STAY_SECONDS
+    def _in_grace_period(self, now: float, target: str) -> bool:
+        return now < self._down_since.setdefault(target, now) + DOWN_GRACE_SECONDS
 
     def _rank(self, target: str) -> int:
         if target not in self._ranks:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -1,10 +1,11 @@
-"""Confines a queue whose tasks seem to take runners down to a few targets, and lets it out again.
-
-What shows it are losses that targets tell and entries share, so all entries see the same evidence
-and choose the same targets; nothing else is said and nothing is stored. A confined queue's jobs
-start on its few targets or are refused; the others use these only if there is no room elsewhere.
-After a while without a loss the queue gets twice as many targets, and so on until it is free. If
-too little is left of the evidence, as a runner answers again, it is free at once.
+"""Confinement of queues whose tasks crash runners, and their stepwise release.
+
+The evidence comes from runner losses that targets report and entries share, so all entries reach
+the same decision and choose the same targets without further messages or stored state. Jobs of a
+confined queue start on its few targets or are refused; other queues use these targets only if there
+is no room elsewhere. After each period without a loss the number of targets doubles, until the
+queue is released. If lost runners answer again and too little evidence remains, the queue is
+released at once.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,94 +22,95 @@
 from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerReturned
 
 QUIET_SECONDS = 1.5
-"""Seconds without a loss, with a target that takes work, after which a queue gets more targets.
-
-Where one task a second takes a runner down, three such times in four show one.
-"""
+"""Seconds without a loss, with a usable target, after which a queue gets more targets."""
 
-LONGEST_RETRY_SECONDS = 10.0
-"""Longest time after which a refused caller is told to come back; seldom is it confined longer."""
+MAX_RETRY_SECONDS = 10.0
+"""Longest `Retry-After` for a refused job, in seconds."""
 
-CLEARLY = 10.0
-"""How many times less likely by chance the losses under one queue are that explain another's.
+EXPLAINED_RATIO = 10.0
+"""Factor between two queues' chances from which the lower one explains the other's losses.
 
-Of two guilty queues neither is so; of a queue whose tasks were beside a guilty one's it is.
+Two queues that both crash runners don't differ that much. A queue whose tasks only ran beside the
+crashing ones does.
 """
 
-MOST_APART = 16
-"""Queues with tasks on lost runners up to which these are run apart from one another.
+MAX_SEPARATED_QUEUES = 16
+"""Queues with tasks on lost runners, up to which their retries run on separate targets.
 
-With more of them a hall or a rack was lost, which is no task's doing.
+More of them point to a lost hall or rack rather than to a task.
 """
 
-MOST_NAMED = 16
-"""Targets that one line names."""
+MAX_LISTED = 16
+"""Targets or runners that one log line lists."""
 
 
 Targets = Callable[[], Iterable[TargetRecord]]
-"""Returns the targets in halls that are not evacuated; asked only when there is evidence."""
+"""Returns the targets in halls that are not evacuated; called only if there is evidence."""
 
 
 @final
 @dataclass(slots=True)
 class _Confinement:
-    """One confined queue. Times are steady seconds."""
+    """One confined queue. Times are in seconds of the monotonic clock."""
 
     bulkhead: Bulkhead
     evidence: Evidence
     since: float
-    """From when on losses were evidence against it."""
-    began: float
+    """Time from which losses counted as evidence against it."""
+    confined_at: float
     width: int = 1
-    """How many times its usual share of targets it has."""
-    quiet: float = 0.0
+    """Multiple of the usual share of targets that it has."""
+    quiet_seconds: float = 0.0
     """Seconds without a loss at this width."""
-    checked: float = 0.0
+    checked_at: float = 0.0
     losses: int = 0
-    """Further losses while it was confined."""
+    """Further losses since it was confined."""
     cleared: dict[str, float] = field(default_factory=dict)
-    """Queues released as it was confined, which explained them: their `since` before."""
+    """Queues released because this one explains their losses, with their `since` at that time."""
 
     def lost(self, now: float) -> None:
-        """Note a further loss: it has the fewest targets again, and its quiet time begins anew."""
+        """Record a further loss: back to the fewest targets, and the quiet period starts over."""
         self.losses += 1
         self.width = 1
-        self.quiet = 0.0
-        self.checked = now
+        self.quiet_seconds = 0.0
+        self.checked_at = now
 
     def steps(self) -> int:
-        """Return how often it has yet to get more targets until it is free."""
+        """Return how many times its targets have to double until it is released."""
         steps, members = 0, max(1, len(self.bulkhead.members))
         while 2 * members < self.bulkhead.known:
             members *= 2
             steps += 1
         return max(1, steps)
 
-    def free_after(self) -> float:
-        """Return the seconds after which it is free if nothing more is lost."""
-        return self.steps() * QUIET_SECONDS - self.quiet
+    def seconds_to_release(self) -> float:
+        """Return the seconds until its release if nothing more is lost."""
+        return self.steps() * QUIET_SECONDS - self.quiet_seconds
 
 
 @final
 class Containment:
-    """The confined queues as one entry sees them."""
+    """The confined queues from the view of one entry."""
 
-    def __init__(self, again: float) -> None:
-        """`again`: seconds from a loss of a runner until what was lost can be at work again."""
-        self._suspicions = CrashEvidence(again)
+    def __init__(self, reconsidered: float) -> None:
+        """Start with no evidence.
+
+        `reconsidered` is the time from a loss until the lost tasks can run again, in seconds.
+        """
+        self._evidence_log = CrashEvidence(reconsidered)
         self._services: dict[str, str] = {}
         """Service of each queue that had a job here."""
         self._confined: dict[str, _Confinement] = {}
-        self._judged: dict[str, float] = {}
-        """When a queue was released last: what was lost before is no evidence any more."""
+        self._evidence_since: dict[str, float] = {}
+        """When a queue was released last; earlier losses don't count as evidence."""
 
     def __len__(self) -> int:
         return len(self._confined)
 
     @property
     def depends_on_time(self) -> bool:
-        """Whether the passing of time may change something."""
-        return bool(self._confined) or self._suspicions.ripens
+        """Whether time alone may change the state, so that `tick` must be called."""
+        return bool(self._confined) or self._evidence_log.may_gain_evidence
 
     def describe(self) -> dict[str, object]:
         """Return a summary of the confined queues for a dump."""
@@ -118,59 +120,55 @@
                 "of": confined.bulkhead.known,
                 "width": confined.width,
                 "losses": confined.losses,
-                "free_after_s": round(confined.free_after(), 2),
+                "free_after_s": round(confined.seconds_to_release(), 2),
             }
             for queue, confined in self._confined.items()
         }
 
-    # What is learned.
-
     def set_service(self, now: float, queue: Queue, targets: Targets) -> list[Log]:
-        """Note which service runs a queue's tasks; what was lost before may say something then."""
+        """Record which service runs a queue's tasks, and reconsider earlier losses."""
         known = self._services.get(queue.name)
         self._services[queue.name] = queue.service
         if known == queue.service:
             return []
-        return self._confine(now, targets, self._suspicions.lost_again())
+        return self._confine(now, targets, self._evidence_log.queues_with_repeat_losses())
 
     def learn(self, now: float, news: LossUpdate, targets: Targets) -> tuple[bool, list[Log]]:
-        """Follow a word on a runner; return whether it was news, and what it leads to."""
-        if not self._suspicions.learn(now, news):
+        """Process a loss message; return whether it was new, and the resulting log lines."""
+        if not self._evidence_log.learn(now, news):
             return False, []
-        logs = self._judge(now, targets)
+        logs = self._process_new_evidence(now, targets)
         if isinstance(news, RunnerReturned):
-            logs += self._take_back(now, news.loss, targets)
+            logs += self._retract(now, news.loss, targets)
         return True, logs
 
     def follow(
         self, now: float, targets: Iterable[TargetRecord], room: TargetSnapshot
     ) -> list[Log]:
-        """Act on the passing of time; `targets` are those in halls that are not evacuated."""
+        """Release or widen queues as time passes; `targets` are those in halls not evacuated."""
         known = list(targets)
-        logs = self._judge(now, lambda: known)
+        logs = self._process_new_evidence(now, lambda: known)
         for queue, confined in list(self._confined.items()):
             usable = room.usable(confined.bulkhead.service)
-            logs += self._follow(now, queue, confined, known, usable)
+            logs += self._advance(now, queue, confined, known, usable)
         return logs
 
-    # What follows from it.
-
     def is_confined(self, queue: Queue) -> bool:
         """Whether a queue is confined."""
         return queue.name in self._confined
 
     def allowed_targets(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
-        """Return those of the usable targets that a job may have tasks on.
+        """Return the usable targets that a job may run on.
 
-        A queue that is not confined uses the others' bulkheads if there is no room elsewhere. Its
-        tasks that met a lost runner go where they meet no other queue's: so one that takes a second
-        runner down is told from those that were beside it.
+        Jobs of other queues run on a confined queue's targets only if there is no room elsewhere.
+        Tasks that were running on a lost runner are retried on targets that no other such queue
+        uses, so that a task that crashes a second runner can be told from those beside it.
         """
         confined = self._confined.get(job.queue.name)
         if confined is not None:
             return [target for target in usable if target.name in confined.bulkhead.members]
-        if self._has_met(job):
-            return self._apart(job, usable) or usable
+        if self._was_lost(job):
+            return self._separated(job, usable) or usable
         if not self._confined:
             return usable
         walled = frozenset[str]().union(*(c.bulkhead.members for c in self._confined.values()))
@@ -178,11 +176,11 @@
         return rest if any(_has_room(job, target) for target in rest) else usable
 
     def may_use_other_targets(self, job: JobRecord) -> bool:
-        """Whether what has no place on its `targets` may go to any usable one."""
-        return not self.is_confined(job.queue) and not self._has_met(job)
+        """Whether tasks that don't fit on the allowed targets may use any usable one."""
+        return not self.is_confined(job.queue) and not self._was_lost(job)
 
     def competing_jobs(self, job: JobRecord, held: Iterable[JobRecord]) -> Iterable[JobRecord]:
-        """Return those of the held jobs that wait for the same targets."""
+        """Return the held jobs that compete for the same targets."""
         if not self._confined:
             return held
         if job.queue.name in self._confined:
@@ -190,31 +188,31 @@
         return [other for other in held if other.queue.name not in self._confined]
 
     def must_wait(self, job: JobRecord) -> bool:
-        """Whether a job is to wait: its queue has the fewest targets, and it met a lost runner.
+        """Whether a job must wait: its queue is at its narrowest, and a task was on a lost runner.
 
-        The one that took the runner down is among these, and would cost another.
+        That task may be the one that crashed the runner, and would crash another.
         """
         confined = self._confined.get(job.queue.name)
         if confined is None or confined.width > 1:
             return False
-        return self._has_met(job)
+        return self._was_lost(job)
 
     def refusal_delay(self, job: JobRecord, room: TargetSnapshot) -> float | None:
-        """Return after how many seconds a job is to be asked for again that has no target now."""
+        """Return the seconds after which to retry a job that can't run now; None if it can."""
         confined = self._confined.get(job.queue.name)
         if confined is None:
             return None
         if any(_can_run(job, t) for t in self.allowed_targets(job, room.usable(job.queue.service))):
             return None
-        return min(LONGEST_RETRY_SECONDS, confined.free_after())
+        return min(MAX_RETRY_SECONDS, confined.seconds_to_release())
 
-    # Inside.
-
-    def _apart(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
-        """Return the targets with room that are the job's queue's among those with suspects."""
+    def _separated(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
+        """Return the targets with room that are assigned to this queue among those with losses."""
         service = job.queue.service
-        queues = [q for q in self._suspicions.at_work() if self._services.get(q) == service]
-        if len(queues) > MOST_APART:
+        queues = [
+            q for q in self._evidence_log.queues_with_losses() if self._services.get(q) == service
+        ]
+        if len(queues) > MAX_SEPARATED_QUEUES:
             return []
         return [
             target
@@ -224,106 +222,109 @@
             == job.queue.name
         ]
 
-    def _judge(self, now: float, targets: Targets) -> list[Log]:
-        """Act on the losses that have become evidence."""
-        new = self._suspicions.ripe(now)
+    def _process_new_evidence(self, now: float, targets: Targets) -> list[Log]:
+        """Act on losses that have become evidence."""
+        new = self._evidence_log.take_new_evidence(now)
         if not new:
             return []
-        for queue in set[str]().union(*map(self._suspicions.queues, new)):
+        for queue in set[str]().union(*map(self._evidence_log.queues, new)):
             if queue in self._confined:
                 self._confined[queue].lost(now)
-        return self._confine(now, targets, self._suspicions.lost_again(new))
+        return self._confine(now, targets, self._evidence_log.queues_with_repeat_losses(new))
 
-    def _take_back(self, now: float, returned: LossId, targets: Targets) -> list[Log]:
-        """Release the queues against which too little is left, as a runner answers again."""
+    def _retract(self, now: float, returned: LossId, targets: Targets) -> list[Log]:
+        """Release the queues with too little evidence left, as a runner has answered again."""
         logs: list[Log] = []
-        again: set[str] = set()
+        reconsidered: set[str] = set()
         for queue, confined in list(self._confined.items()):
-            doubtful = self._suspicions.doubtful(now, confined.evidence.losses)
-            if not doubtful:
+            discounted = self._evidence_log.discounted(now, confined.evidence.losses)
+            if not discounted:
                 continue
             known = confined.bulkhead.known
-            left = self._suspicions.evidence(now, queue, confined.since, known, ())
-            logs.append(_taken_back_note(queue, returned, doubtful, left))
+            left = self._evidence_log.evidence(now, queue, confined.since, known, ())
+            logs.append(_retracted_log(queue, returned, discounted, left))
             if left is not None:
                 confined.evidence = left
                 continue
             logs.append(self._release(now, queue, "taken_back"))
-            # What is left may tell more with the next loss, also of those it seemed to explain.
-            self._judged[queue] = confined.since
+            # The remaining losses may become evidence with the next one, also against the queues
+            # that this one seemed to explain.
+            self._evidence_since[queue] = confined.since
             for other, since in confined.cleared.items():
-                if self._judged[other] == confined.began:
-                    self._judged[other] = since
-                    again.add(other)
-        return logs + self._confine(now, targets, again)
+                if self._evidence_since[other] == confined.confined_at:
+                    self._evidence_since[other] = since
+                    reconsidered.add(other)
+        return logs + self._confine(now, targets, reconsidered)
 
     def _confine(self, now: float, targets: Targets, queues: set[str]) -> list[Log]:
-        """Confine those of some queues that have enough against them."""
+        """Confine those of the given queues that have enough evidence against them."""
         known = list(targets()) if queues else []
         logs: list[Log] = []
-        while (worst := self._worst(now, known, queues)) is not None:
+        while (worst := self._strongest(now, known, queues)) is not None:
             queue, bulkhead, evidence = worst
-            since = self._judged.get(queue, float("-inf"))
-            self._confined[queue] = _Confinement(bulkhead, evidence, since, now, checked=now)
-            logs += [_confined_note(queue, bulkhead, evidence), *self._clear(now, queue)]
+            since = self._evidence_since.get(queue, float("-inf"))
+            self._confined[queue] = _Confinement(bulkhead, evidence, since, now, checked_at=now)
+            logs += [_confined_log(queue, bulkhead, evidence), *self._release_explained(now, queue)]
         return logs
 
-    def _has_met(self, job: JobRecord) -> bool:
-        """Whether a waiting task of a job was at work on a runner that fell silent."""
-        return bool(self._suspicions) and any(
-            self._suspicions.met(task.id) for task in job.waiting()
+    def _was_lost(self, job: JobRecord) -> bool:
+        """Whether a waiting task of a job was running on a runner that fell silent."""
+        return bool(self._evidence_log) and any(
+            self._evidence_log.was_on_lost_runner(task.id) for task in job.waiting()
         )
 
-    def _worst(
+    def _strongest(
         self, now: float, targets: list[TargetRecord], queues: set[str]
     ) -> tuple[str, Bulkhead, Evidence] | None:
-        """Return the queue with the most against it, if one is to be confined."""
+        """Return the queue with the strongest evidence, if any is to be confined."""
         found: list[tuple[str, Bulkhead, Evidence]] = []
         for queue in queues & self._services.keys() - self._confined.keys():
             bulkhead = Bulkhead(queue, self._services[queue])
             bulkhead.choose(now, targets, 1)
             evidence = self._evidence(now, queue, bulkhead.known)
-            if evidence is not None and not bulkhead.leaves_little():
+            if evidence is not None and not bulkhead.is_too_wide():
                 found.append((queue, bulkhead, evidence))
         return min(found, key=lambda each: (each[2].chance, each[0]), default=None)
 
     def _evidence(self, now: float, queue: str, targets: int) -> Evidence | None:
-        """Return why a queue is to be confined, beside those with more against them."""
-        since = self._judged.get(queue, float("-inf"))
-        evidence = self._suspicions.evidence(now, queue, since, targets, ())
+        """Return the evidence against a queue that confined queues don't explain better."""
+        since = self._evidence_since.get(queue, float("-inf"))
+        evidence = self._evidence_log.evidence(now, queue, since, targets, ())
         if evidence is None:
             return None
         worse = [
-            q for q, c in self._confined.items() if CLEARLY * c.evidence.chance <= evidence.chance
+            q
+            for q, c in self._confined.items()
+            if EXPLAINED_RATIO * c.evidence.chance <= evidence.chance
         ]
-        return self._suspicions.evidence(now, queue, since, targets, worse)
+        return self._evidence_log.evidence(now, queue, since, targets, worse)
 
-    def _clear(self, now: float, queue: str) -> list[Log]:
-        """Release queues of which nothing is left but what one that was just confined explains."""
+    def _release_explained(self, now: float, queue: str) -> list[Log]:
+        """Release the queues whose losses the newly confined one explains."""
         logs: list[Log] = []
         worst = self._confined[queue].evidence.chance
         for other, confined in list(self._confined.items()):
-            if other == queue or confined.evidence.chance < CLEARLY * worst:
+            if other == queue or confined.evidence.chance < EXPLAINED_RATIO * worst:
                 continue
             known = confined.bulkhead.known
-            if not self._suspicions.evidence(now, other, confined.since, known, (queue,)):
+            if not self._evidence_log.evidence(now, other, confined.since, known, (queue,)):
                 self._confined[queue].cleared[other] = confined.since
                 logs.append(self._release(now, other, f"explained_by_{queue}"))
         return logs
 
     def _release(self, now: float, queue: str, reason: str) -> Log:
         confined = self._confined.pop(queue)
-        self._judged[queue] = now
+        self._evidence_since[queue] = now
         fields: dict[str, str | int | float] = {
             "queue": queue,
             "reason": reason,
-            "after_ms": round((now - confined.began) * 1000),
+            "after_ms": round((now - confined.confined_at) * 1000),
             "losses": confined.losses,
             "targets": confined.bulkhead.known,
         }
         return note("queue_released", **fields)
 
-    def _follow(
+    def _advance(
         self,
         now: float,
         queue: str,
@@ -332,15 +333,15 @@
         usable: list[TargetRecord],
     ) -> list[Log]:
         bulkhead = confined.bulkhead
-        passed = now - confined.checked
-        confined.checked = now
+        passed = now - confined.checked_at
+        confined.checked_at = now
         if any(target.name in bulkhead.members for target in usable):
-            confined.quiet += passed
-        if confined.quiet >= QUIET_SECONDS:
+            confined.quiet_seconds += passed
+        if confined.quiet_seconds >= QUIET_SECONDS:
             confined.width *= 2
-            confined.quiet = 0.0
+            confined.quiet_seconds = 0.0
         bulkhead.choose(now, targets, confined.width)
-        if not bulkhead.leaves_little():
+        if not bulkhead.is_too_wide():
             return []
         return [self._release(now, queue, "quiet")]
 
@@ -354,36 +355,36 @@
     return job.request.need.fits(target.free) and _can_run(job, target)
 
 
-def _confined_note(queue: str, bulkhead: Bulkhead, evidence: Evidence) -> Log:
-    """Return the line that says why a queue is confined, and to what."""
+def _confined_log(queue: str, bulkhead: Bulkhead, evidence: Evidence) -> Log:
+    """Return the log line for a confined queue, with its evidence and targets."""
     return note(
         "queue_confined",
         queue=queue,
-        targets=",".join(sorted(bulkhead.members)[:MOST_NAMED]),
+        targets=",".join(sorted(bulkhead.members)[:MAX_LISTED]),
         of=bulkhead.known,
         second_losses=evidence.second_losses,
         lives=evidence.lives,
         chance=round(evidence.chance, 6),
-        runners=_named(evidence.losses),
+        runners=_format_incarnations(evidence.losses),
     )
 
 
-def _taken_back_note(
-    queue: str, returned: LossId, doubtful: Iterable[LossId], left: Evidence | None
+def _retracted_log(
+    queue: str, returned: LossId, discounted: Iterable[LossId], left: Evidence | None
 ) -> Log:
-    """Return the line that says which evidence against a queue no longer counts, and what is left.
+    """Return the log line for evidence that no longer counts.
 
-    `returned`: the runner that answers again, by which others' silence may tell less as well.
+    `returned` is the runner that answers again, which may also put other losses in doubt.
     """
     return note(
         "queue_evidence_taken_back",
         queue=queue,
         answers=str(returned.incarnation),
-        runners=_named(doubtful),
+        runners=_format_incarnations(discounted),
         second_losses_left=0 if left is None else left.second_losses,
     )
 
 
-def _named(losses: Iterable[LossId]) -> str:
-    """Return the lives of some losses, as one line names them."""
-    return ",".join(sorted({str(loss.incarnation) for loss in losses})[:MOST_NAMED])
+def _format_incarnations(losses: Iterable[LossId]) -> str:
+    """Return the runner incarnations of some losses as a comma-separated list."""
+    return ",".join(sorted({str(loss.incarnation) for loss in losses})[:MAX_LISTED])
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -1,13 +1,13 @@
-"""What lost runners show of the queues whose tasks were at work on them.
+"""Evidence from lost runners on which queue's tasks crash them.
 
-On a busy fleet every queue is at work on nearly every runner, so that one was there says nothing.
-A task that takes runners down shows itself by its second run: it meets a second lost runner, soon
-after its start. A sound task that was beside it is as likely to meet a second lost runner as any
-task is. So the evidence against a queue is how unlikely its tasks' second losses are by chance.
+On a busy fleet every queue has tasks on nearly every runner, so being present at one loss shows
+nothing. A task that crashes runners gives itself away on its retry: it is on a second lost runner,
+soon after its start. A sound task that ran beside it is on a second lost runner only as often as
+any task. So the evidence against a queue is how unlikely its tasks' repeat losses are by chance.
 
-A runner that only fell silent may be cut off or slow to answer: nothing crashed. While lives that
-fell silent do answer again, a silence is evidence only once it has lasted longer than they take,
-or the life is known to have ended.
+A silent runner may only be cut off or slow: nothing crashed. While silent runners do answer again,
+a silence counts as evidence only once it has lasted longer than these returns take, or once the
+incarnation is known to have ended.
 """
 
 from collections import Counter
@@ -27,259 +27,268 @@
 )
 
 WINDOW_SECONDS = 10.0
-"""Seconds for which a loss is evidence: a task is tried again within its caller's patience."""
+"""Seconds for which a loss counts as evidence; a caller retries a task sooner."""
 
-MOST_CHANCE = 0.02
-"""Probability of a queue's second losses by chance, up to which they are no chance."""
+MAX_CHANCE = 0.02
+"""Highest probability of a queue's repeat losses by chance at which it is held responsible."""
 
-LEAST_PRESENT = 0.75
-"""Share of the lost runners on which a guilty queue was at work, at the least; two share them."""
+MIN_PRESENT_SHARE = 0.75
+"""Smallest share of the lost runners that must have run a queue's tasks to blame it.
 
-SHORTEST_WORK = 0.02
-"""Seconds that a task had worked at the least: a silence is not noticed closer than that."""
+Two crashing queues share the losses.
+"""
+
+MIN_WORK_SECONDS = 0.02
+"""Shortest run time assumed for a lost task, in seconds; silence isn't noticed faster."""
 
-MOST_KEPT = 256
-"""Losses that are kept as evidence at once."""
+MAX_LOSSES = 256
+"""Losses kept as evidence at once."""
 
-MOST_RETURNED = 256
-"""Lives that answered again, remembered so that an older word of silence is not followed."""
+MAX_RETURNED = 256
+"""Returned incarnations kept, so that outdated messages on their silence are ignored."""
 
 RETURN_WAIT_LEASES = 2.0
-"""How many times as long as a runner's lease a silence lasts until it is evidence while most end.
+"""Runner leases that a silence must last to be evidence while most silent runners return.
 
-A queue that does crash runners then is confined so much later (1.4 s); most returns come sooner.
+It delays the confinement of a queue that does crash runners by as much.
 """
 
 
-Work = dict[str, dict[TaskId, float]]
-"""Seconds of work of each task on one runner, by queue."""
+RunTimes = dict[str, dict[TaskId, float]]
+"""Seconds that each task had run on one runner, by queue."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Seen:
-    """A runner that fell silent: when this process learned of it, and what was at work."""
+class _Silence:
+    """A runner that fell silent, when this process learned of it, and which tasks it ran."""
 
     at: float
     loss: LossId
-    work: Work
+    work: RunTimes
     ended: bool = False
-    """Whether the life is known to have ended, as another one answers in its place."""
+    """Whether the incarnation is known to have ended, as a new one runs in its place."""
 
     def of(self, queue: str) -> dict[TaskId, float]:
-        """Return the seconds of work of the tasks of a queue."""
+        """Return the run times in seconds of a queue's tasks."""
         return self.work.get(queue, {})
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Second:
-    """A task's run that met a lost runner after an earlier run had met one."""
+class _RepeatLoss:
+    """A task's run on a lost runner, after an earlier run on another one."""
 
     worked: float
-    """Seconds that it had run."""
-    first: LossId
-    again: LossId
+    """Seconds that the later run had lasted."""
+    first_loss: LossId
+    repeat: LossId
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Why a queue is held guilty."""
+    """The evidence that a queue's tasks crash runners."""
 
     second_losses: int
-    """Lost runners, of different moments, with a task of it that had met one before."""
+    """Lost runners, at separate times, with a task that had been on a lost runner before."""
     chance: float
-    """How probable that is of sound tasks, at most."""
+    """Upper bound of the probability that sound tasks show as many."""
     lives: int
-    """Runners that fell silent in the time that counts."""
+    """Runners that fell silent within the window."""
     losses: frozenset[LossId] = frozenset()
-    """What it is made of: the second losses, and the first ones of the same tasks."""
+    """The repeat losses, and the first losses of the same tasks."""
 
 
 @final
 class CrashEvidence:
-    """The losses that one entry has heard of lately. Times are steady seconds."""
-
-    def __init__(self, again: float) -> None:
-        self._again = again
-        """Seconds from a loss until what was lost can be at work again: a runner's lease."""
-        self._seen: dict[LossId, _Seen] = {}
-        """In the order in which they were learned; of each life the latest silence only."""
-        self._met: Counter[TaskId] = Counter()
-        """On how many of these runners a task was at work."""
+    """The recent losses known to one entry. Times are in monotonic seconds."""
+
+    def __init__(self, restart_seconds: float) -> None:
+        self._restart_seconds = restart_seconds
+        """Seconds from a loss until the lost tasks can run again: a runner's lease."""
+        self._silences: dict[LossId, _Silence] = {}
+        """In the order in which they were learned; only the latest silence of each incarnation."""
+        self._loss_counts: Counter[TaskId] = Counter()
+        """Number of these runners that ran a task."""
         self._returned: dict[RunnerIncarnation, tuple[int, float]] = {}
-        """Of lives that answered again: the latest silence that ended so, and when it was learned.
+        """The latest silence that ended by an answer and when that was learned, by incarnation.
 
-        The one that was learned last is the last.
+        Ordered by the time at which it was learned.
         """
-        self._ripe: set[LossId] = set()
-        """What was evidence when `ripe` was asked last."""
+        self._known_evidence: set[LossId] = set()
+        """The losses that counted as evidence at the last call of `take_new_evidence`."""
 
     def __bool__(self) -> bool:
-        return bool(self._seen)
+        return bool(self._silences)
 
     @property
-    def ripens(self) -> bool:
+    def may_gain_evidence(self) -> bool:
         """Whether a silence may yet become evidence by lasting longer."""
-        return not self._seen.keys() <= self._ripe
+        return not self._silences.keys() <= self._known_evidence
 
     def learn(self, now: float, news: LossUpdate) -> bool:
-        """Follow a word on a runner; return whether it was news."""
+        """Process a loss message; return whether it was new."""
         self._expire(now)
         loss = news.loss
         if isinstance(news, RunnerReturned):
-            return self._undo(now, loss)
+            return self._retract(now, loss)
         if isinstance(news, RunnerLost):
-            return self._lost(now, news, now - news.ago_ms / 1000, ended=bool(news.ended))
-        return self._lost(now, news, now, ended=False)
+            return self._add(now, news, now - news.ago_ms / 1000, ended=bool(news.ended))
+        return self._add(now, news, now, ended=False)
 
-    def ripe(self, now: float) -> set[LossId]:
-        """Return the losses that have become evidence since this was asked last."""
+    def take_new_evidence(self, now: float) -> set[LossId]:
+        """Return the losses that have become evidence since the last call."""
         self._expire(now)
-        ripe = {each.loss for each in self._evident(now)}
-        new = ripe - self._ripe
-        self._ripe = ripe
+        take_new_evidence = {each.loss for each in self._counting(now)}
+        new = take_new_evidence - self._known_evidence
+        self._known_evidence = take_new_evidence
         return new
 
     def has_returned(self, loss: LossId) -> bool:
-        """Whether the life has answered since it fell silent so."""
+        """Whether the incarnation has answered since it fell silent at that time."""
         returned = self._returned.get(loss.incarnation)
         return returned is not None and loss.silent_ms <= returned[0]
 
-    def doubtful(self, now: float, losses: Iterable[LossId]) -> set[LossId]:
-        """Return those of the losses that are no evidence any more, other than by their age."""
-        evident = {each.loss for each in self._evident(now)}
-        known = self._seen.keys() - evident
+    def discounted(self, now: float, losses: Iterable[LossId]) -> set[LossId]:
+        """Return the losses that no longer count as evidence, other than by age."""
+        evident = {each.loss for each in self._counting(now)}
+        known = self._silences.keys() - evident
         return {loss for loss in losses if self.has_returned(loss) or loss in known}
 
-    def lost_again(self, losses: Collection[LossId] | None = None) -> set[str]:
-        """Return the queues of tasks that met two lost runners, one of them in `losses` if given.
+    def queues_with_repeat_losses(self, losses: Collection[LossId] | None = None) -> set[str]:
+        """Return the queues with a task on two lost runners, one of them in `losses` if given.
 
-        Only of these there can be evidence.
+        Only against these queues there can be evidence.
         """
-        seen = self._seen.values() if losses is None else [self._seen[loss] for loss in losses]
+        seen = (
+            self._silences.values() if losses is None else [self._silences[loss] for loss in losses]
+        )
         return {
             queue
             for each in seen
             for queue, tasks in each.work.items()
-            if any(self._met[task] > 1 for task in tasks)
+            if any(self._loss_counts[task] > 1 for task in tasks)
         }
 
     def queues(self, loss: LossId) -> set[str]:
-        """Return the queues that were at work on a runner that fell silent."""
-        return set(self._seen[loss].work)
+        """Return the queues with tasks on a runner that fell silent."""
+        return set(self._silences[loss].work)
 
-    def at_work(self) -> set[str]:
-        """Return the queues that were at work on runners that fell silent."""
-        return {queue for seen in self._seen.values() for queue in seen.work}
+    def queues_with_losses(self) -> set[str]:
+        """Return the queues with tasks on any runner that fell silent."""
+        return {queue for seen in self._silences.values() for queue in seen.work}
 
-    def met(self, task: TaskId) -> bool:
-        """Whether a task was at work on a runner that fell silent."""
-        return task in self._met
+    def was_on_lost_runner(self, task: TaskId) -> bool:
+        """Whether a task was on a runner that fell silent."""
+        return task in self._loss_counts
 
     def evidence(
         self, now: float, queue: str, since: float, targets: int, explained: Collection[str]
     ) -> Evidence | None:
-        """Return why a queue is held guilty by what came after `since`; None if it is not.
+        """Return the evidence against a queue from losses after `since`; None if it is too weak.
 
-        `targets`: how many runners its service has, as far as is known. Runners on which one of the
-        `explained` queues was at work don't count.
+        `targets` is the number of known runners of its service. Losses of runners that ran a task
+        of one of the `explained` queues don't count.
         """
         self._expire(now)
         seen = [
             each
-            for each in self._evident(now)
+            for each in self._counting(now)
             if each.at > since and not any(each.of(other) for other in explained)
         ]
         seen.sort(key=lambda each: each.at)
-        seconds = _second_losses(queue, seen)
-        if not seconds:
+        repeats = _repeat_losses(queue, seen)
+        if not repeats:
             return None
-        at_work = [each for each in seen if each.of(queue)]
-        if len(at_work) < LEAST_PRESENT * len(seen):
+        present = [each for each in seen if each.of(queue)]
+        if len(present) < MIN_PRESENT_SHARE * len(seen):
             return None
-        # What was at work on one lost runner runs again on one, where it meets as many losses by
-        # chance as there are in its time.
-        rate = (len(seen) - len(seconds)) / (WINDOW_SECONDS * max(1, targets))
-        again = sum(each.at <= now - self._again for each in at_work)
+        # The tasks of a lost runner are retried, each on one runner, where as many losses hit them
+        # by chance as happen during their run time.
+        rate = (len(seen) - len(repeats)) / (WINDOW_SECONDS * max(1, targets))
+        retried = sum(each.at <= now - self._restart_seconds for each in present)
         length = 2 * _median([worked for each in seen for worked in each.of(queue).values()])
-        chance = _least_chance([rate * again * min(each.worked, length) for each in seconds])
-        if chance > MOST_CHANCE:
+        chance = _lowest_chance([rate * retried * min(each.worked, length) for each in repeats])
+        if chance > MAX_CHANCE:
             return None
-        made_of = frozenset(loss for each in seconds for loss in (each.first, each.again))
-        return Evidence(len(seconds), chance, len(seen), made_of)
+        involved = frozenset(loss for each in repeats for loss in (each.first_loss, each.repeat))
+        return Evidence(len(repeats), chance, len(seen), involved)
 
-    def _evident(self, now: float) -> list[_Seen]:
-        """Return the silences that show something now.
+    def _counting(self, now: float) -> list[_Silence]:
+        """Return the silences that count as evidence now.
 
-        A life that came back lately may do so again, and any life while most come back: of these
-        only silences that have lasted longer than returns take.
+        An incarnation that returned lately may do so again, and so may any while most return: of
+        these, only silences count that have lasted longer than returns take.
         """
-        back = {life for life, (_, at) in self._returned.items() if at >= now - WINDOW_SECONDS}
-        out = {loss.incarnation for loss in self._seen} - back
-        mostly_back = len(back) >= len(out)
-        outlasted = now - RETURN_WAIT_LEASES * self._again
+        lately_returned = {
+            life for life, (_, at) in self._returned.items() if at >= now - WINDOW_SECONDS
+        }
+        still_silent = {loss.incarnation for loss in self._silences} - lately_returned
+        mostly_back = len(lately_returned) >= len(still_silent)
+        outlasted = now - RETURN_WAIT_LEASES * self._restart_seconds
         return [
             each
-            for each in self._seen.values()
+            for each in self._silences.values()
             if each.ended
             or each.at <= outlasted
-            or not (mostly_back or each.loss.incarnation in back)
+            or not (mostly_back or each.loss.incarnation in lately_returned)
         ]
 
-    def _lost(self, now: float, news: RunnerLost | RunnerSilent, at: float, *, ended: bool) -> bool:
-        """Note a silence that was learned of `at` a time; return whether that is news."""
+    def _add(self, now: float, news: RunnerLost | RunnerSilent, at: float, *, ended: bool) -> bool:
+        """Record a silence learned of at time `at`; return whether it was new."""
         loss = news.loss
-        if loss in self._seen:
-            return ended and self._end(loss)
+        if loss in self._silences:
+            return ended and self._mark_ended(loss)
         if self.has_returned(loss) or at <= now - WINDOW_SECONDS:
             return False
-        known = [other.silent_ms for other in self._seen if other.incarnation == loss.incarnation]
+        known = [
+            other.silent_ms for other in self._silences if other.incarnation == loss.incarnation
+        ]
         if known and loss.silent_ms < max(known):
             return False
         for silent_ms in known:
-            # The same life is silent anew: it had answered meanwhile.
-            self._undo(now, LossId.of(loss.incarnation, silent_ms))
-        work: Work = {}
+            # The same incarnation is silent again, so it had answered in between.
+            self._retract(now, LossId.of(loss.incarnation, silent_ms))
+        work: RunTimes = {}
         for task, queue, ms in zip(news.tasks, news.queues, news.worked_ms, strict=False):
-            work.setdefault(queue, {})[task] = max(SHORTEST_WORK, ms / 1000)
-        self._seen[loss] = _Seen(at, loss, work, ended)
-        self._met.update(task for tasks in work.values() for task in tasks)
-        if len(self._seen) > MOST_KEPT:
-            self._forget(next(iter(self._seen)))
+            work.setdefault(queue, {})[task] = max(MIN_WORK_SECONDS, ms / 1000)
+        self._silences[loss] = _Silence(at, loss, work, ended)
+        self._loss_counts.update(task for tasks in work.values() for task in tasks)
+        if len(self._silences) > MAX_LOSSES:
+            self._forget(next(iter(self._silences)))
         return True
 
-    def _end(self, loss: LossId) -> bool:
-        """Note that a life that was silent has ended; return whether that is news."""
-        known = self._seen[loss]
-        self._seen[loss] = replace(known, ended=True)
+    def _mark_ended(self, loss: LossId) -> bool:
+        """Record that a silent incarnation has ended; return whether that was new."""
+        known = self._silences[loss]
+        self._silences[loss] = replace(known, ended=True)
         return not known.ended
 
-    def _undo(self, now: float, loss: LossId) -> bool:
-        """Take back what a life's silence shows, and that of any earlier one."""
+    def _retract(self, now: float, loss: LossId) -> bool:
+        """Drop the evidence from an incarnation's silence, and from any earlier one."""
         if self.has_returned(loss):
             return False
         self._returned.pop(loss.incarnation, None)
         self._returned[loss.incarnation] = (loss.silent_ms, now)
-        if len(self._returned) > MOST_RETURNED:
+        if len(self._returned) > MAX_RETURNED:
             del self._returned[next(iter(self._returned))]
-        for known in list(self._seen):
+        for known in list(self._silences):
             if self.has_returned(known):
                 self._forget(known)
         return True
 
     def _expire(self, now: float) -> None:
-        for loss, seen in list(self._seen.items()):
+        for loss, seen in list(self._silences.items()):
             if seen.at < now - WINDOW_SECONDS:
                 self._forget(loss)
 
     def _forget(self, loss: LossId) -> None:
-        for tasks in self._seen.pop(loss).work.values():
+        for tasks in self._silences.pop(loss).work.values():
             for task in tasks:
-                self._met[task] -= 1
-                if not self._met[task]:
-                    del self._met[task]
+                self._loss_counts[task] -= 1
+                if not self._loss_counts[task]:
+                    del self._loss_counts[task]
 
 
 def _median(values: list[float]) -> float:
@@ -288,10 +297,10 @@
     return (values[middle] + values[~middle]) / 2
 
 
-def _least_chance(expected: list[float]) -> float:
-    """Return how probable it is at the least that so many second losses come by chance.
+def _lowest_chance(expected: list[float]) -> float:
+    """Return the lowest probability by chance of any number of repeat losses.
 
-    The n-th of `expected` is how many as short as the n-th are to be expected.
+    The n-th item of `expected` is the expected number of losses with runs as short as the n-th.
     """
     least, factorial = 1.0, 1
     for count, usual in enumerate(expected, 1):
@@ -300,32 +309,34 @@
     return least
 
 
-def _second_losses(queue: str, seen: list[_Seen]) -> list[_Second]:
-    """Return the second losses of tasks of a queue, that of the shortest run first.
+def _repeat_losses(queue: str, seen: list[_Silence]) -> list[_RepeatLoss]:
+    """Return the repeat losses of a queue's tasks, the shortest run first.
 
-    Of runners that fell silent together one counts at most: the shortest run. One on which tasks
-    of several queues were lost again tells nothing.
+    Of runners that fell silent together only the one with the shortest run counts. A runner with
+    repeat losses of several queues counts for none.
     """
-    first: dict[TaskId, tuple[int, LossId]] = {}
-    shortest: dict[int, _Second] = {}
+    first_loss: dict[TaskId, tuple[int, LossId]] = {}
+    shortest: dict[int, _RepeatLoss] = {}
     group, began = 0, float("-inf")
     for each in seen:
         if each.at > began + CORRELATION_SECONDS:
             group, began = group + 1, each.at
-        again: dict[str, _Second] = {}
+        by_queue: dict[str, _RepeatLoss] = {}
         for name, tasks in each.work.items():
-            met = [
-                _Second(worked, before, each.loss)
+            repeated = [
+                _RepeatLoss(worked, earlier, each.loss)
                 for task, worked in tasks.items()
-                for number, before in [first.setdefault(task, (group, each.loss))]
+                for number, earlier in [first_loss.setdefault(task, (group, each.loss))]
                 if number < group
             ]
-            if met:
-                again[name] = min(met, key=_worked)
-        if again.keys() == {queue}:
-            shortest[group] = min(again[queue], shortest.get(group, again[queue]), key=_worked)
-    return sorted(shortest.values(), key=_worked)
+            if repeated:
+                by_queue[name] = min(repeated, key=_run_time)
+        if by_queue.keys() == {queue}:
+            shortest[group] = min(
+                by_queue[queue], shortest.get(group, by_queue[queue]), key=_run_time
+            )
+    return sorted(shortest.values(), key=_run_time)
 
 
-def _worked(second: _Second) -> float:
-    return second.worked
+def _run_time(repeat_loss: _RepeatLoss) -> float:
+    return repeat_loss.worked
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -1,9 +1,9 @@
-"""Runners that were lost with what ran on them, and how often each task was among it.
+"""History of lost runners and the tasks that ran on them.
 
-A task that crashes its runner dies with it, and so do all that run beside it; nobody is told which
-of them it was. So each loss is remembered with all that was at work, at the target that saw it and
-at every entry, for longer than a caller goes on sending its job: the count of a task outlives the
-entry that placed it.
+A task that crashes its runner is lost with all tasks beside it, and nothing shows which of them
+caused it. So each loss is kept with all tasks that were running, at the target that saw it and at
+every entry, for longer than a caller retries its job. This way a task's count of losses outlives
+the entry that placed it.
 """
 
 from dataclasses import dataclass
@@ -16,45 +16,42 @@
 from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerLost, RunnerReturned, TaskId
 
 RETENTION_SECONDS = 60.0
-"""Seconds for which a loss is remembered: some tries of a caller, at 4 s and a pause each."""
+"""Seconds for which a loss is kept; a caller retries its job several times meanwhile."""
 
-MOST_REMEMBERED = 256
-"""Losses that are remembered at once; about 300 KB with ten tasks each."""
+MAX_LOSSES = 256
+"""Losses kept at once."""
 
-MOST_RETURNED = 256
-"""Lives that answered again, remembered so that an older word of their loss is not followed.
-
-Some 40 KB. Each is one of the runners that an entry knows of, however often it falls silent.
-"""
+MAX_RETURNED = 256
+"""Returned incarnations kept, so that outdated messages on their loss are ignored."""
 
 
 CORRELATION_SECONDS = 0.15
-"""Runners that are lost within so many seconds of one another may have one cause outside of them.
+"""Seconds within which losses of several runners may have one external cause.
 
-It is longer than the looks that notice a loss are apart.
+Longer than the interval of the polls that detect a loss.
 """
 
-SHARED_LOSSES = 2
-"""Other runners, without a task of the same job, with which one is lost by such a cause.
+CORRELATED_LOSSES = 2
+"""Other runners without a task of the same job that are lost with one by an external cause.
 
-Two tasks that crash their runners meet by chance; that three do so within a moment is rare.
+Two tasks that crash their runners may coincide; three within that time are rare.
 """
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Known:
-    """A loss, when its teller learned of it, and since when it is kept."""
+class _Entry:
+    """A loss, when its sender learned of it, and from when its retention counts."""
 
     at: float
     lost: RunnerLost
-    kept: float
+    kept_since: float
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Answered:
-    """Since when a life had been silent the last time that it answered again, and when it did."""
+class _Return:
+    """The last return of an incarnation: its time, and the start of the silence that it ended."""
 
     at: float
     silent_ms: int
@@ -62,32 +59,32 @@
 
 @final
 class LossHistory:
-    """The losses that one process knows of. Times are seconds of that process's clock.
+    """The losses known to one process. Times are in seconds of that process's clock.
 
-    Of each life the newest word counts. One that falls silent again has answered in between, so
-    that nothing of its earlier loss stands, also if nobody told of the answer here.
+    For each incarnation the latest message counts. One that falls silent again must have answered
+    in between, so its earlier loss is void even if no message on that answer arrived.
     """
 
     def __init__(self) -> None:
-        self._losses: dict[RunnerIncarnation, _Known] = {}
-        """By life, in the order in which they were learned."""
+        self._losses: dict[RunnerIncarnation, _Entry] = {}
+        """By incarnation, in the order in which they were learned."""
         self._by_task: dict[TaskId, list[RunnerIncarnation]] = {}
-        self._answered: dict[RunnerIncarnation, _Answered] = {}
+        self._returns: dict[RunnerIncarnation, _Return] = {}
 
     def apply(self, now: float, news: LossUpdate) -> bool:
-        """Follow a word on a lost runner; return whether it was news. A silent one is none."""
+        """Process a loss message; return whether it was new. `RunnerSilent` is ignored."""
         if isinstance(news, RunnerReturned):
             return self.returned(now, news.loss)
         return isinstance(news, RunnerLost) and self.learn(now, news)
 
     def learn(self, now: float, lost: RunnerLost) -> bool:
-        """Remember a loss from when its teller learned of it; return whether it was news.
+        """Record a loss as of the time its sender learned of it; return whether it was new.
 
-        One that is known is news once its life is known to have ended.
+        A known loss is new again once its incarnation is known to have ended.
         """
         self.expire(now)
         incarnation, silent_ms = lost.loss.incarnation, lost.loss.silent_ms
-        if self._has_answered(lost.loss):
+        if self._has_returned(lost.loss):
             return False
         at = now - lost.ago_ms / 1000
         known = self._losses.get(incarnation)
@@ -99,74 +96,76 @@
                     return False
                 at = known.at
             self._forget(incarnation)
-        self._losses[incarnation] = _Known(at, lost, at)
+        self._losses[incarnation] = _Entry(at, lost, at)
         for task in lost.tasks:
             self._by_task.setdefault(task, []).append(incarnation)
-        if len(self._losses) > MOST_REMEMBERED:
+        if len(self._losses) > MAX_LOSSES:
             self._forget(next(iter(self._losses)))
         return True
 
     def returned(self, now: float, loss: LossId) -> bool:
-        """Forget a loss, as the same life of the runner answers again; return whether it was news.
+        """Drop a loss, as the same incarnation answers again; return whether that was new.
 
-        The runner was cut off or stood still: nothing on it took it down.
+        The runner was unreachable or paused: no task crashed it.
         """
         self.expire(now)
-        if self._has_answered(loss):
+        if self._has_returned(loss):
             return False
-        self._answered.pop(loss.incarnation, None)
-        self._answered[loss.incarnation] = _Answered(now, loss.silent_ms)
-        if len(self._answered) > MOST_RETURNED:
-            del self._answered[next(iter(self._answered))]
+        self._returns.pop(loss.incarnation, None)
+        self._returns[loss.incarnation] = _Return(now, loss.silent_ms)
+        if len(self._returns) > MAX_RETURNED:
+            del self._returns[next(iter(self._returns))]
         known = self._losses.get(loss.incarnation)
         if known is not None and known.lost.loss.silent_ms <= loss.silent_ms:
             self._forget(loss.incarnation)
         return True
 
     def export(self, now: float) -> list[LossUpdate]:
-        """Return what is remembered, to hand on; each loss says how long it has been known.
+        """Return all losses, to send on, each with the time since it was learned.
 
-        It includes who answered again: whoever heard of the loss alone would count it.
+        Returns are included, as a receiver that knows only the loss would count it.
         """
         self.expire(now)
         answered = [
             RunnerReturned(LossId.of(incarnation, last.silent_ms))
-            for incarnation, last in self._answered.items()
+            for incarnation, last in self._returns.items()
         ]
         known = self._losses.values()
         return [
             *answered,
-            *(replace(each.lost, ago_ms=round((now - each.kept) * 1000)) for each in known),
+            *(replace(each.lost, ago_ms=round((now - each.kept_since) * 1000)) for each in known),
         ]
 
     def expire(self, now: float) -> None:
-        """Forget what is too old to say anything."""
+        """Drop entries older than the retention."""
         for incarnation, known in list(self._losses.items()):
-            if now >= known.kept + RETENTION_SECONDS:
+            if now >= known.kept_since + RETENTION_SECONDS:
                 self._forget(incarnation)
-        for incarnation, answered in list(self._answered.items()):
+        for incarnation, answered in list(self._returns.items()):
             if now < answered.at + RETENTION_SECONDS:
                 break
-            del self._answered[incarnation]
+            del self._returns[incarnation]
 
     def extend_retention(self, now: float, task: TaskId) -> None:
-        """Remember for longer which lives have ended under a task, as it is asked for yet."""
+        """Restart the retention of a task's ended incarnations, as the task is still requested."""
         for incarnation in self.ended(task):
-            self._losses[incarnation] = replace_field(self._losses[incarnation], kept=now)
+            self._losses[incarnation] = replace_field(self._losses[incarnation], kept_since=now)
 
     def runners(self, task: TaskId) -> list[RunnerIncarnation]:
-        """Return the lives of runners that were lost under a task; each may yet answer again."""
+        """Return the incarnations lost while they ran a task; each may yet answer again."""
         return [*self._by_task.get(task, ())]
 
     def ended(self, task: TaskId) -> list[RunnerIncarnation]:
-        """Return the lives that are known to have ended since a task was seen at work on them."""
-        lives = self._by_task.get(task, ())
+        """Return the incarnations known to have ended since they were seen running a task."""
+        incarnations = self._by_task.get(task, ())
         return [
-            incarnation for incarnation in lives if task in self._losses[incarnation].lost.ended
+            incarnation
+            for incarnation in incarnations
+            if task in self._losses[incarnation].lost.ended
         ]
 
     def was_correlated(self, incarnation: RunnerIncarnation, job: str) -> bool:
-        """Whether a life was lost together with others that had no task of a job."""
+        """Whether an incarnation was lost along with others that ran no task of a job."""
         at = self._losses[incarnation].at
         others = [
             each
@@ -174,11 +173,11 @@
             if other != incarnation and abs(each.at - at) <= CORRELATION_SECONDS
             if not any(task.job == job for task in each.lost.tasks)
         ]
-        return len(others) >= SHARED_LOSSES
+        return len(others) >= CORRELATED_LOSSES
 
-    def _has_answered(self, loss: LossId) -> bool:
-        """Whether the life is known to have answered since that loss."""
-        answered = self._answered.get(loss.incarnation)
+    def _has_returned(self, loss: LossId) -> bool:
+        """Whether the incarnation is known to have answered since that loss."""
+        answered = self._returns.get(loss.incarnation)
         return answered is not None and loss.silent_ms <= answered.silent_ms
 
     def _forget(self, incarnation: RunnerIncarnation) -> None:
--- a/testing/core/leased/test_bulkhead.py
+++ b/testing/core/leased/test_bulkhead.py
@@ -1,7 +1,7 @@
-"""Which targets a confined queue may use: the same at each entry, and it keeps to them."""
+"""The targets of a confined queue: chosen alike by all entries, and kept while they last."""
 
 import pytest
-from paddleshunt_core.leased.bulkhead import STAY_SECONDS, Bulkhead
+from paddleshunt_core.leased.bulkhead import DOWN_GRACE_SECONDS, Bulkhead
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import Health, RunnerReport, RunnerState
@@ -24,16 +24,16 @@
     bulkhead.choose(now, fleet.values(), width)
 
 
-def test_two_entries_choose_the_same_few(fleet: dict[str, TargetRecord]) -> None:
+def test_two_entries_choose_the_same_targets(fleet: dict[str, TargetRecord]) -> None:
     one, other = Bulkhead("q", "svc"), Bulkhead("q", "svc")
     choose(one, 1.0, fleet)
     choose(other, 5.0, dict(reversed(fleet.items())))
     assert one.members == other.members
     assert 1 <= len(one.members) <= 4
-    assert not one.leaves_little()
+    assert not one.is_too_wide()
 
 
-def test_queues_have_different_ones(fleet: dict[str, TargetRecord]) -> None:
+def test_queues_have_different_targets(fleet: dict[str, TargetRecord]) -> None:
     chosen = set()
     for name in "abcdef":
         bulkhead = Bulkhead(name, "svc")
@@ -42,7 +42,7 @@
     assert len(chosen) > 1
 
 
-def test_a_wider_one_has_the_narrow_ones_targets(fleet: dict[str, TargetRecord]) -> None:
+def test_a_wider_bulkhead_includes_the_narrower_one(fleet: dict[str, TargetRecord]) -> None:
     bulkhead = Bulkhead("q", "svc")
     choose(bulkhead, 1.0, fleet)
     few = bulkhead.members
@@ -50,14 +50,14 @@
     assert few < bulkhead.members
 
 
-def test_other_services_targets_have_no_place(fleet: dict[str, TargetRecord]) -> None:
+def test_targets_of_other_services_are_not_eligible(fleet: dict[str, TargetRecord]) -> None:
     bulkhead = Bulkhead("q", "svc")
     choose(bulkhead, 1.0, {**fleet, "x": target("x", service="other")})
     assert bulkhead.known == len(fleet)
 
 
 @pytest.mark.parametrize("gone", ["down", "no session"])
-def test_a_target_whose_runner_is_away_keeps_its_place_for_a_while(
+def test_a_target_whose_runner_is_down_stays_for_the_grace_period(
     gone: str, fleet: dict[str, TargetRecord]
 ) -> None:
     bulkhead = Bulkhead("q", "svc")
@@ -68,15 +68,15 @@
         if gone == "no session":
             fleet[name].report = None
     choose(bulkhead, 1.1, fleet)
-    choose(bulkhead, 1.0 + STAY_SECONDS, fleet)
+    choose(bulkhead, 1.0 + DOWN_GRACE_SECONDS, fleet)
     assert bulkhead.members == members
-    for now in (1.2 + STAY_SECONDS, 1.3 + STAY_SECONDS):
+    for now in (1.2 + DOWN_GRACE_SECONDS, 1.3 + DOWN_GRACE_SECONDS):
         choose(bulkhead, now, fleet)
         assert not bulkhead.members & members
 
 
 @pytest.mark.parametrize("state", [RunnerState.LEAVING, RunnerState.EVACUATED])
-def test_one_that_takes_no_work_any_more_is_replaced_at_once(
+def test_a_target_that_accepts_no_work_is_replaced_at_once(
     state: RunnerState, fleet: dict[str, TargetRecord]
 ) -> None:
     bulkhead = Bulkhead("q", "svc")
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 2])
-def test_of_two_targets_none_can_be_spared(count: int) -> None:
+def test_a_bulkhead_among_two_targets_is_too_wide(count: int) -> None:
     bulkhead = Bulkhead("q", "svc")
     bulkhead.choose(1.0, [target(f"t{n}") for n in range(count)], 1)
-    assert bulkhead.leaves_little()
+    assert bulkhead.is_too_wide()
--- a/testing/core/leased/test_containment.py
+++ b/testing/core/leased/test_containment.py
@@ -1,4 +1,4 @@
-"""A queue whose tasks crash runners: what it costs the others, and what must confine nobody."""
+"""Confinement of queues that crash runners, and losses that must not confine any."""
 
 from collections.abc import Callable
 from random import Random
@@ -6,7 +6,7 @@
 import pytest
 from leasedfleet import Fleet
 from paddleshunt_core.leased.catalog import Queue
-from paddleshunt_core.leased.containment import LONGEST_RETRY_SECONDS
+from paddleshunt_core.leased.containment import MAX_RETRY_SECONDS
 from paddleshunt_core.leased.outcomes import Completed, Refused
 
 QUEUES = {
@@ -16,8 +16,8 @@
 TARGETS = 12
 
 
-class Day:
-    """Jobs of three queues, evenly over the entries of a fleet; some crash their runners."""
+class Workload:
+    """Jobs of three queues, submitted to all entries in turn; some crash their runners."""
 
     def __init__(self, entries: int = 2) -> None:
         self.fleet = Fleet(entries=entries, targets=TARGETS)
@@ -29,17 +29,17 @@
     def run(
         self,
         seconds: float,
-        *guilty: str,
+        *crashing: str,
         every: int = 3,
         each: Callable[[float], None] = lambda _: None,
     ) -> None:
-        """Let time pass with jobs; of the `guilty` queues `every` third one crashes its runners."""
+        """Advance time with jobs; at each `every`-th step the `crashing` queues crash runners."""
         for step in range(round(seconds / 0.1)):
             each(step * 0.1)
             for name in QUEUES:
                 self.number += 1
                 entry = self._entry()
-                if name in guilty and step % every == 0:
+                if name in crashing and step % every == 0:
                     self.crash(name)
                 else:
                     work = {"count": 4, "length": 0.15, "queue": QUEUES[name], "deadline": 3.0}
@@ -49,7 +49,7 @@
             self.fleet.run(0.1)
 
     def crash(self, queue: str) -> None:
-        """Hand in a job with a task that crashes its runners."""
+        """Submit a job with a task that crashes its runners."""
         self.number += 1
         work = {"count": 2, "length": 0.3, "queue": QUEUES[queue], "deadline": 3.0}
         self.fleet.submit_crashing(self._entry(), f"crash{self.number}", **work)
@@ -59,7 +59,7 @@
         return up[self.number % len(up)]
 
     def confined(self) -> list[set[str]]:
-        """Return which queues are confined at each entry that is up."""
+        """Return the confined queues of each running entry."""
         found = []
         for name, node in self.fleet.entries.items():
             if node.up:
@@ -75,7 +75,7 @@
         return list(queues["bad"]["targets"])
 
     def completed(self, queue: str) -> float:
-        """Return the share of a queue's sound jobs that completed; let the last ones end."""
+        """Return the completed share of a queue's sound jobs, after waiting for the last ones."""
         self.fleet.run(0.5)
         answers = [self.fleet.answers.get(caller) for caller in self.sent[queue]]
         return sum(answer == Completed() for answer in answers) / len(answers)
@@ -86,111 +86,111 @@
 
 
 @pytest.fixture
-def day() -> Day:
-    return Day()
+def workload() -> Workload:
+    return Workload()
 
 
-def test_a_queue_whose_tasks_crash_runners_does_not_take_the_fleet(day: Day) -> None:
-    day.run(8.0, "bad")
-    day.run(2.0)
-    assert day.completed("sound") > 0.95
-    assert day.lost() <= 8
+def test_a_queue_that_crashes_runners_does_not_bring_the_fleet_down(workload: Workload) -> None:
+    workload.run(8.0, "bad")
+    workload.run(2.0)
+    assert workload.completed("sound") > 0.95
+    assert workload.lost() <= 8
 
 
-def test_all_entries_confine_it_to_the_same_targets(day: Day) -> None:
-    day.run(4.0, "bad")
-    assert day.confined() == [{"bad"}, {"bad"}]
-    assert day.members("e0") == day.members("e1")
-    assert len(day.members()) < TARGETS / 2
+def test_all_entries_confine_a_queue_to_the_same_targets(workload: Workload) -> None:
+    workload.run(4.0, "bad")
+    assert workload.confined() == [{"bad"}, {"bad"}]
+    assert workload.members("e0") == workload.members("e1")
+    assert len(workload.members()) < TARGETS / 2
 
 
-def test_a_job_that_is_refused_meanwhile_has_not_run_and_is_told_when_to_come(day: Day) -> None:
-    day.run(5.0, "bad")
+def test_a_refused_job_has_not_run_and_gets_a_retry_time(workload: Workload) -> None:
+    workload.run(5.0, "bad")
     refused = [
         answer
-        for answer in map(day.fleet.answers.get, day.sent["bad"])
+        for answer in map(workload.fleet.answers.get, workload.sent["bad"])
         if isinstance(answer, Refused) and answer.reason == "confined"
     ]
     assert refused
-    assert all(0 < answer.retry_after <= LONGEST_RETRY_SECONDS for answer in refused)
-    started = {task.job for runner in day.fleet.runners.values() for task in runner.starts}
-    for caller in day.sent["bad"]:
-        if isinstance(day.fleet.answers.get(caller), Refused):
-            assert day.keys[caller] not in started
+    assert all(0 < answer.retry_after <= MAX_RETRY_SECONDS for answer in refused)
+    started = {task.job for runner in workload.fleet.runners.values() for task in runner.starts}
+    for caller in workload.sent["bad"]:
+        if isinstance(workload.fleet.answers.get(caller), Refused):
+            assert workload.keys[caller] not in started
 
 
-def test_it_is_free_again_after_a_while_without_a_loss(day: Day) -> None:
-    day.run(4.0, "bad")
-    assert day.confined() == [{"bad"}, {"bad"}]
-    day.run(13.0)
-    assert day.confined() == [set(), set()]
-    day.sent["bad"].clear()
-    day.run(2.0)
-    assert day.completed("bad") > 0.95
+def test_a_queue_is_released_after_a_while_without_a_loss(workload: Workload) -> None:
+    workload.run(4.0, "bad")
+    assert workload.confined() == [{"bad"}, {"bad"}]
+    workload.run(13.0)
+    assert workload.confined() == [set(), set()]
+    workload.sent["bad"].clear()
+    workload.run(2.0)
+    assert workload.completed("bad") > 0.95
 
 
-def test_a_loss_in_its_few_targets_keeps_it_confined(day: Day) -> None:
-    day.run(4.0, "bad")
+def test_a_further_loss_keeps_a_queue_confined(workload: Workload) -> None:
+    workload.run(4.0, "bad")
     for _ in range(6):
-        day.crash("bad")
-        day.run(2.0)
-    assert day.confined() == [{"bad"}, {"bad"}]
-
-
-def test_two_guilty_queues_are_both_confined(day: Day) -> None:
-    day.run(8.0, "bad", "worse", every=9)
-    assert day.confined() == [{"bad", "worse"}] * 2
-    day.run(2.0)
-    sound = day.sent["sound"]
-    day.sent["sound"] = sound[len(sound) // 2 :]
-    assert day.completed("sound") > 0.95
-
-
-def test_an_entry_that_starts_anew_confines_it_as_the_others_do(day: Day) -> None:
-    day.run(4.0, "bad")
-    day.fleet.kill("e1")
-    day.fleet.start("e1")
-    day.run(1.0, "bad")
-    assert day.confined() == [{"bad"}, {"bad"}]
-    assert day.members("e0") == day.members("e1")
-
-
-def test_the_targets_that_told_may_all_end(day: Day) -> None:
-    day.run(4.0, "bad")
-    for name in sorted(day.fleet.targets)[: TARGETS // 2]:
-        if name not in day.members():
-            day.fleet.kill(name)
-            day.fleet.runners[name].crash()
-    day.run(2.0, "bad")
-    assert day.confined() == [{"bad"}, {"bad"}]
-    day.sent["sound"].clear()
-    day.run(2.0, "bad")
-    assert day.completed("sound") > 0.9
-
-
-def test_another_target_takes_the_place_of_one_that_leaves(day: Day) -> None:
-    day.run(4.0, "bad")
-    members = day.members()
+        workload.crash("bad")
+        workload.run(2.0)
+    assert workload.confined() == [{"bad"}, {"bad"}]
+
+
+def test_two_queues_that_crash_runners_are_both_confined(workload: Workload) -> None:
+    workload.run(8.0, "bad", "worse", every=9)
+    assert workload.confined() == [{"bad", "worse"}] * 2
+    workload.run(2.0)
+    sound = workload.sent["sound"]
+    workload.sent["sound"] = sound[len(sound) // 2 :]
+    assert workload.completed("sound") > 0.95
+
+
+def test_a_restarted_entry_confines_a_queue_as_the_others_do(workload: Workload) -> None:
+    workload.run(4.0, "bad")
+    workload.fleet.kill("e1")
+    workload.fleet.start("e1")
+    workload.run(1.0, "bad")
+    assert workload.confined() == [{"bad"}, {"bad"}]
+    assert workload.members("e0") == workload.members("e1")
+
+
+def test_a_queue_stays_confined_when_the_reporting_targets_are_gone(workload: Workload) -> None:
+    workload.run(4.0, "bad")
+    for name in sorted(workload.fleet.targets)[: TARGETS // 2]:
+        if name not in workload.members():
+            workload.fleet.kill(name)
+            workload.fleet.runners[name].crash()
+    workload.run(2.0, "bad")
+    assert workload.confined() == [{"bad"}, {"bad"}]
+    workload.sent["sound"].clear()
+    workload.run(2.0, "bad")
+    assert workload.completed("sound") > 0.9
+
+
+def test_a_target_that_leaves_is_replaced_in_the_bulkhead(workload: Workload) -> None:
+    workload.run(4.0, "bad")
+    members = workload.members()
     for name in members:
-        day.fleet.workers[name].leave(day.fleet.now)
-    day.run(0.5, "bad")
-    assert day.members()
-    assert not set(day.members()) & set(members)
+        workload.fleet.workers[name].leave(workload.fleet.now)
+    workload.run(0.5, "bad")
+    assert workload.members()
+    assert not set(workload.members()) & set(members)
 
 
-def test_a_target_that_ends_keeps_its_place_for_a_while_only(day: Day) -> None:
-    day.run(4.0, "bad")
-    members = day.members()
+def test_a_killed_target_is_replaced_after_the_grace_period(workload: Workload) -> None:
+    workload.run(4.0, "bad")
+    members = workload.members()
     for name in members:
-        day.fleet.kill(name)
-        day.fleet.runners[name].crash()
-    day.run(1.0, "bad")
-    assert day.members() == members
-    day.run(6.0, "bad")
-    assert not set(day.members()) & set(members)
+        workload.fleet.kill(name)
+        workload.fleet.runners[name].crash()
+    workload.run(1.0, "bad")
+    assert workload.members() == members
+    workload.run(6.0, "bad")
+    assert not set(workload.members()) & set(members)
 
 
-def down(fleet: Fleet, names: list[str]) -> None:
+def crash(fleet: Fleet, names: list[str]) -> None:
     for name in names:
         if fleet.runners[name].up:
             fleet.runners[name].crash()
@@ -206,32 +206,32 @@
     return {1.0: names[:6], 2.0: names[6:], 7.0: names[3:9]}.get(round(at, 1), [])
 
 
-def by_turns(fleet: Fleet, at: float) -> list[str]:
+def in_turn(fleet: Fleet, at: float) -> list[str]:
     due = round(at * 10) % 10 == 0
     return [f"t{round(at * 10) // 10 * 5 % TARGETS}"] if due else []
 
 
-def one_that_flaps(fleet: Fleet, at: float) -> list[str]:
+def flapping(fleet: Fleet, at: float) -> list[str]:
     return ["t3"]
 
 
-@pytest.mark.parametrize("which", [all_at_once, half_at_once, by_turns, one_that_flaps])
-def test_runners_that_are_lost_otherwise_confine_nobody(
-    day: Day, which: Callable[[Fleet, float], list[str]]
+@pytest.mark.parametrize("which", [all_at_once, half_at_once, in_turn, flapping])
+def test_unrelated_losses_confine_no_queue(
+    workload: Workload, which: Callable[[Fleet, float], list[str]]
 ) -> None:
     seen: list[set[str]] = []
 
     def each(at: float) -> None:
-        down(day.fleet, which(day.fleet, at))
-        seen.extend(day.confined())
+        crash(workload.fleet, which(workload.fleet, at))
+        seen.extend(workload.confined())
 
-    day.run(10.0, each=each)
+    workload.run(10.0, each=each)
     assert set().union(*seen) == set()
 
 
-def test_a_runner_that_was_only_silent_is_no_evidence(day: Day) -> None:
-    """Two in turn stand still with the same job; each answers again."""
-    fleet = day.fleet
+def test_a_runner_that_answers_again_is_no_evidence(workload: Workload) -> None:
+    """The same job loses two runners in turn, and both answer again."""
+    fleet = workload.fleet
     fleet.submit("e0", "job", count=1, length=1.5, queue=QUEUES["bad"], deadline=9.0)
     for _ in range(2):
         fleet.run(0.2)
@@ -240,20 +240,20 @@
         fleet.run(0.1)
         fleet.runners[name].mute = False
         fleet.run(0.1)
-    assert day.confined() == [set(), set()]
+    assert workload.confined() == [set(), set()]
     assert not fleet.ends("runner_lost")
 
 
-class Silences:
-    """All runners fall silent for moments, each by itself, and answer again; none crashes."""
+class RandomSilences:
+    """Makes all runners silent for random periods; none crashes."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self._fleet = fleet
         self._rng = Random(seed)
         self._due = {name: self._rng.uniform(0.0, 0.5) for name in sorted(fleet.runners)}
 
-    def follow(self, at: float, until: float) -> None:
-        """Let those fall silent, up to a time, or answer again, whose time it is."""
+    def advance(self, at: float, until: float) -> None:
+        """Toggle the runners that are due; none becomes silent after `until`."""
         for name, due in self._due.items():
             runner = self._fleet.runners[name]
             if at >= due and (runner.mute or at < until):
@@ -262,27 +262,27 @@
 
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 3, 5])
-def test_runners_that_fall_silent_and_answer_again_confine_nobody(day: Day, seed: int) -> None:
-    silences = Silences(day.fleet, seed)
+def test_intermittent_silences_confine_no_queue(workload: Workload, seed: int) -> None:
+    silences = RandomSilences(workload.fleet, seed)
     seen: list[set[str]] = []
 
     def each(at: float) -> None:
-        silences.follow(at, 6.0)
-        seen.extend(day.confined())
+        silences.advance(at, 6.0)
+        seen.extend(workload.confined())
 
-    day.run(8.0, each=each)
-    assert len(day.fleet.ends("runner_unreachable")) > 40
+    workload.run(8.0, each=each)
+    assert len(workload.fleet.ends("runner_unreachable")) > 40
     assert set().union(*seen) == set()
-    answers = day.fleet.answers.values()
+    answers = workload.fleet.answers.values()
     assert not [a for a in answers if isinstance(a, Refused) and a.reason == "confined"]
 
 
-def test_one_runner_that_falls_silent_now_and_then_hides_no_queue_that_crashes_others(
-    day: Day,
+def test_a_flapping_runner_does_not_hide_a_crashing_queue(
+    workload: Workload,
 ) -> None:
     def each(at: float) -> None:
-        day.fleet.runners["t3"].mute = round(at * 10) % 10 in (0, 1, 2)
+        workload.fleet.runners["t3"].mute = round(at * 10) % 10 in (0, 1, 2)
 
-    day.run(4.0, "bad", each=each)
-    assert day.confined() == [{"bad"}, {"bad"}]
-    assert day.lost() <= 5
+    workload.run(4.0, "bad", each=each)
+    assert workload.confined() == [{"bad"}, {"bad"}]
+    assert workload.lost() <= 5
--- a/testing/core/leased/test_losses.py
+++ b/testing/core/leased/test_losses.py
@@ -1,10 +1,10 @@
-"""What is remembered of lost runners: within bounds, and undone when one answers again."""
+"""The history of lost runners: bounded, and corrected when one answers again."""
 
 import pytest
 from msgspec.structs import replace
 from paddleshunt_core.leased.losses import (
-    MOST_REMEMBERED,
-    MOST_RETURNED,
+    MAX_LOSSES,
+    MAX_RETURNED,
     RETENTION_SECONDS,
     LossHistory,
 )
@@ -20,116 +20,116 @@
 
 
 @pytest.fixture
-def book() -> LossHistory:
-    book = LossHistory()
-    assert book.learn(1.0, lost("i-1", TASK, OTHER))
-    return book
+def history() -> LossHistory:
+    history = LossHistory()
+    assert history.learn(1.0, lost("i-1", TASK, OTHER))
+    return history
 
 
-def test_the_runners_lost_under_a_task_are_named(book: LossHistory) -> None:
-    book.learn(2.0, lost("i-2", TASK))
-    assert book.runners(TASK) == [RunnerIncarnation("i-1"), RunnerIncarnation("i-2")]
-    assert book.runners(OTHER) == [RunnerIncarnation("i-1")]
-    assert book.runners(TaskId("job", 0, 1)) == []
+def test_runners_lost_with_a_task_are_returned(history: LossHistory) -> None:
+    history.learn(2.0, lost("i-2", TASK))
+    assert history.runners(TASK) == [RunnerIncarnation("i-1"), RunnerIncarnation("i-2")]
+    assert history.runners(OTHER) == [RunnerIncarnation("i-1")]
+    assert history.runners(TaskId("job", 0, 1)) == []
 
 
-def test_a_loss_that_is_told_again_counts_once(book: LossHistory) -> None:
-    assert not book.learn(1.1, lost("i-1", TASK, OTHER))
-    assert book.runners(TASK) == [RunnerIncarnation("i-1")]
+def test_a_repeated_loss_message_counts_once(history: LossHistory) -> None:
+    assert not history.learn(1.1, lost("i-1", TASK, OTHER))
+    assert history.runners(TASK) == [RunnerIncarnation("i-1")]
 
 
-@pytest.mark.parametrize("told_first", ["loss", "return"])
-def test_a_runner_that_answers_again_counts_for_nothing(told_first: str) -> None:
-    book = LossHistory()
-    if told_first == "loss":
-        book.learn(1.0, lost("i-1", TASK))
-    assert book.returned(1.1, LossId("i-1", 1000))
-    assert not book.learn(1.2, lost("i-1", TASK))
-    assert book.runners(TASK) == []
-    assert not book.returned(1.1, LossId("i-1", 1000))
+@pytest.mark.parametrize("first_message", ["loss", "return"])
+def test_a_returned_runner_does_not_count(first_message: str) -> None:
+    history = LossHistory()
+    if first_message == "loss":
+        history.learn(1.0, lost("i-1", TASK))
+    assert history.returned(1.1, LossId("i-1", 1000))
+    assert not history.learn(1.2, lost("i-1", TASK))
+    assert history.runners(TASK) == []
+    assert not history.returned(1.1, LossId("i-1", 1000))
 
 
-def test_a_runner_that_answered_again_may_be_lost_later(book: LossHistory) -> None:
-    book.returned(1.1, LossId("i-1", 1000))
-    assert book.learn(3.0, lost("i-1", TASK, silent_ms=3000))
-    assert book.runners(TASK) == [RunnerIncarnation("i-1")]
+def test_a_returned_runner_may_be_lost_later(history: LossHistory) -> None:
+    history.returned(1.1, LossId("i-1", 1000))
+    assert history.learn(3.0, lost("i-1", TASK, silent_ms=3000))
+    assert history.runners(TASK) == [RunnerIncarnation("i-1")]
 
 
-def test_a_loss_is_forgotten_after_a_while(book: LossHistory) -> None:
-    book.learn(2.0, lost("i-2", TASK))
+def test_a_loss_expires(history: LossHistory) -> None:
+    history.learn(2.0, lost("i-2", TASK))
     known = replace(lost("i-2", TASK), ago_ms=round((RETENTION_SECONDS - 1.0) * 1000))
-    assert book.export(1.0 + RETENTION_SECONDS) == [known]
-    assert book.runners(TASK) == [RunnerIncarnation("i-2")]
+    assert history.export(1.0 + RETENTION_SECONDS) == [known]
+    assert history.runners(TASK) == [RunnerIncarnation("i-2")]
 
 
-def test_what_is_handed_on_says_for_how_long_it_has_been_known(book: LossHistory) -> None:
-    (first,) = book.export(31.0)
+def test_an_exported_loss_carries_its_age(history: LossHistory) -> None:
+    (first,) = history.export(31.0)
     other = LossHistory()
     assert other.learn(100.0, first)
     assert other.export(110.0) == [replace(first, ago_ms=40_000)]
     assert other.export(100.0 - 30.0 + RETENTION_SECONDS) == []
 
 
-def test_no_more_than_a_bound_is_remembered(book: LossHistory) -> None:
-    for number in range(MOST_REMEMBERED):
-        book.learn(2.0, lost(f"j-{number}", TaskId(f"job{number}", 0, 0)))
-    assert len(book.export(2.0)) == MOST_REMEMBERED
-    assert book.runners(TASK) == []
+def test_the_number_of_losses_is_bounded(history: LossHistory) -> None:
+    for number in range(MAX_LOSSES):
+        history.learn(2.0, lost(f"j-{number}", TaskId(f"job{number}", 0, 0)))
+    assert len(history.export(2.0)) == MAX_LOSSES
+    assert history.runners(TASK) == []
 
 
 ENDED = replace(lost("i-1", TASK, OTHER), ended=[TASK])
 
 
 @pytest.mark.parametrize(
-    "told", [[ENDED], [lost("i-1", TASK, OTHER), ENDED]], ids=["alone", "later"]
+    "messages", [[ENDED], [lost("i-1", TASK, OTHER), ENDED]], ids=["alone", "later"]
 )
-def test_a_life_that_is_known_to_have_ended_is_told_from_one_that_is_silent(
-    told: list[RunnerLost],
+def test_an_ended_incarnation_is_distinguished_from_a_silent_one(
+    messages: list[RunnerLost],
 ) -> None:
-    book = LossHistory()
-    assert book.ended(TASK) == []
-    assert all(book.learn(1.0, word) for word in told)
-    assert book.ended(TASK) == [RunnerIncarnation("i-1")]
-    assert book.ended(OTHER) == []
-    assert book.runners(TASK) == book.runners(OTHER) == [RunnerIncarnation("i-1")]
+    history = LossHistory()
+    assert history.ended(TASK) == []
+    assert all(history.learn(1.0, message) for message in messages)
+    assert history.ended(TASK) == [RunnerIncarnation("i-1")]
+    assert history.ended(OTHER) == []
+    assert history.runners(TASK) == history.runners(OTHER) == [RunnerIncarnation("i-1")]
 
 
-def test_an_older_word_does_not_undo_what_is_known() -> None:
-    book = LossHistory()
-    book.learn(1.0, ENDED)
-    assert not book.learn(1.1, lost("i-1", TASK, OTHER))
-    assert not book.learn(1.1, ENDED)
-    assert book.ended(TASK) == [RunnerIncarnation("i-1")]
+def test_an_outdated_message_changes_nothing() -> None:
+    history = LossHistory()
+    history.learn(1.0, ENDED)
+    assert not history.learn(1.1, lost("i-1", TASK, OTHER))
+    assert not history.learn(1.1, ENDED)
+    assert history.ended(TASK) == [RunnerIncarnation("i-1")]
 
 
-def test_an_end_is_remembered_as_long_as_the_loss_before_it(book: LossHistory) -> None:
-    book.learn(4.0, ENDED)
-    assert book.export(31.0) == [replace(ENDED, ago_ms=30_000)]
-    assert book.export(1.0 + RETENTION_SECONDS) == []
+def test_an_end_expires_with_its_loss(history: LossHistory) -> None:
+    history.learn(4.0, ENDED)
+    assert history.export(31.0) == [replace(ENDED, ago_ms=30_000)]
+    assert history.export(1.0 + RETENTION_SECONDS) == []
 
 
-def test_a_life_that_falls_silent_again_has_answered_since_its_earlier_loss(
-    book: LossHistory,
+def test_a_later_silence_voids_the_earlier_loss(
+    history: LossHistory,
 ) -> None:
-    assert book.learn(2.0, lost("i-1", OTHER, silent_ms=1900))
-    assert book.runners(TASK) == []
-    assert book.runners(OTHER) == [RunnerIncarnation("i-1")]
-    assert not book.learn(2.1, lost("i-1", TASK, OTHER))
-    assert book.runners(TASK) == []
+    assert history.learn(2.0, lost("i-1", OTHER, silent_ms=1900))
+    assert history.runners(TASK) == []
+    assert history.runners(OTHER) == [RunnerIncarnation("i-1")]
+    assert not history.learn(2.1, lost("i-1", TASK, OTHER))
+    assert history.runners(TASK) == []
 
 
-def test_what_is_handed_on_says_who_answered_again(book: LossHistory) -> None:
-    book.returned(1.5, LossId("i-1", 1000))
+def test_exported_losses_include_returns(history: LossHistory) -> None:
+    history.returned(1.5, LossId("i-1", 1000))
     other = LossHistory()
     other.learn(2.0, lost("i-1", TASK, OTHER))
-    for news in book.export(2.0):
+    for news in history.export(2.0):
         other.apply(2.0, news)
     assert other.runners(TASK) == []
-    assert book.export(1.5 + RETENTION_SECONDS) == []
+    assert history.export(1.5 + RETENTION_SECONDS) == []
 
 
-def test_no_more_answers_than_a_bound_are_remembered() -> None:
-    book = LossHistory()
-    for number in range(MOST_RETURNED + 1):
-        book.returned(1.0, LossId(f"i-{number}", 1000))
-    assert len(book.export(1.0)) == MOST_RETURNED
+def test_the_number_of_returns_is_bounded() -> None:
+    history = LossHistory()
+    for number in range(MAX_RETURNED + 1):
+        history.returned(1.0, LossId(f"i-{number}", 1000))
+    assert len(history.export(1.0)) == MAX_RETURNED
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -1,4 +1,4 @@
-"""Words on lost runners in any order, twice or not at all, against what became of the runners."""
+"""Loss messages reordered, duplicated or dropped, checked against the true course of events."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -26,42 +26,42 @@
 EXAMPLES = 500
 
 State = dict[TaskId, tuple[set[RunnerIncarnation], set[RunnerIncarnation]]]
-"""Of each task the lives that count as lost under it, and those known to have ended so."""
+"""By task: the incarnations lost while they ran it, and those known to have ended then."""
 
 
 @dataclass(frozen=True)
-class Life:
-    """What became of one life: when it fell silent, with what at work, and how that ended."""
+class IncarnationHistory:
+    """The true history of one incarnation: its silences, the tasks running, and its end."""
 
     name: RunnerIncarnation
     silences: list[tuple[int, list[TaskId]]]
-    """It answered again after each but the last."""
+    """Start and running tasks of each silence; all but the last ended by an answer."""
     answered: bool
-    """Whether it answered after the last as well."""
+    """Whether the last silence ended by an answer too."""
     ended: list[TaskId] | None
-    """What it was known to have had at work as it ended in the last silence; None if it lives."""
+    """Tasks known to have run when it ended during the last silence; None if it still lives."""
 
-    def words(self) -> list[LossUpdate]:
-        """Return all that its target says of it."""
-        said: list[LossUpdate] = []
+    def messages(self) -> list[LossUpdate]:
+        """Return all messages that its target sends on it."""
+        messages_sent: list[LossUpdate] = []
         last = len(self.silences) - 1
         for number, (silent_ms, tasks) in enumerate(self.silences):
             loss = LossId.of(self.name, silent_ms)
-            said.append(RunnerLost(loss, tasks))
+            messages_sent.append(RunnerLost(loss, tasks))
             if number < last or self.answered:
-                said.append(RunnerReturned(loss))
+                messages_sent.append(RunnerReturned(loss))
             elif self.ended is not None:
-                said.append(RunnerLost(loss, tasks, ended=self.ended))
-        return said
+                messages_sent.append(RunnerLost(loss, tasks, ended=self.ended))
+        return messages_sent
 
 
-def named(number: int) -> RunnerIncarnation:
-    """Return the name of a life: each second one bears an id again, with a clock set back."""
+def incarnation_number(number: int) -> RunnerIncarnation:
+    """Return an incarnation; every second one reuses an id, with a clock set back."""
     return RunnerIncarnation(f"i-{number // 2}", 1000 - number)
 
 
 @st.composite
-def lives(draw: st.DrawFn) -> list[Life]:
+def histories(draw: st.DrawFn) -> list[IncarnationHistory]:
     found = []
     for number in range(LIVES):
         moments = sorted(draw(st.sets(st.integers(0, 20), min_size=1, max_size=3)))
@@ -70,45 +70,47 @@
         answered = draw(st.booleans())
         known = [task for task in silences[-1][1] if draw(st.booleans())]
         ended = known if not answered and draw(st.booleans()) else None
-        found.append(Life(named(number), silences, answered, ended))
+        found.append(IncarnationHistory(incarnation_number(number), silences, answered, ended))
     return found
 
 
 @st.composite
-def heard(draw: st.DrawFn) -> tuple[list[Life], list[LossUpdate]]:
-    """Give lives, and those of the words on them that come, in any order, some of them twice."""
-    truth = draw(lives())
-    said = [word for incarnation in truth for word in incarnation.words()]
-    return truth, draw(st.lists(st.sampled_from(said), max_size=2 * len(said)))
+def delivered(draw: st.DrawFn) -> tuple[list[IncarnationHistory], list[LossUpdate]]:
+    """Draw histories, and messages on them in any order, with gaps and duplicates."""
+    truth = draw(histories())
+    messages_sent = [message for incarnation in truth for message in incarnation.messages()]
+    return truth, draw(st.lists(st.sampled_from(messages_sent), max_size=2 * len(messages_sent)))
 
 
-def told(words: Iterable[LossUpdate]) -> LossHistory:
-    book = LossHistory()
-    for word in words:
-        book.apply(1.0, word)
-    return book
+def history_of(messages: Iterable[LossUpdate]) -> LossHistory:
+    history = LossHistory()
+    for message in messages:
+        history.apply(1.0, message)
+    return history
 
 
-def state(book: LossHistory) -> State:
-    return {task: (set(book.runners(task)), set(book.ended(task))) for task in TASKS}
+def state(history: LossHistory) -> State:
+    return {task: (set(history.runners(task)), set(history.ended(task))) for task in TASKS}
 
 
-def expected(words: Iterable[LossUpdate]) -> State:
-    """Work out what counts: of each life its latest silence, if no answer after it was told of."""
+def expected(messages: Iterable[LossUpdate]) -> State:
+    """Return the losses that must count: each incarnation's latest silence, unless it returned."""
     state: State = {task: (set(), set()) for task in TASKS}
-    by_life: dict[RunnerIncarnation, list[LossUpdate]] = {}
-    for word in words:
-        by_life.setdefault(word.loss.incarnation, []).append(word)
-    for incarnation, about in by_life.items():
-        answered = [word.loss.silent_ms for word in about if isinstance(word, RunnerReturned)]
-        last = max(word.loss.silent_ms for word in about)
+    by_incarnation: dict[RunnerIncarnation, list[LossUpdate]] = {}
+    for message in messages:
+        by_incarnation.setdefault(message.loss.incarnation, []).append(message)
+    for incarnation, own in by_incarnation.items():
+        answered = [
+            message.loss.silent_ms for message in own if isinstance(message, RunnerReturned)
+        ]
+        last = max(message.loss.silent_ms for message in own)
         if last in answered:
             continue
-        for word in about:
-            if isinstance(word, RunnerLost) and word.loss.silent_ms == last:
-                for task in word.tasks:
+        for message in own:
+            if isinstance(message, RunnerLost) and message.loss.silent_ms == last:
+                for task in message.tasks:
                     state[task][0].add(incarnation)
-                for task in word.ended:
+                for task in message.ended:
                     state[task][1].add(incarnation)
     return state
 
@@ -119,65 +121,65 @@
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
-@given(heard())
-def test_of_each_life_the_latest_silence_counts_whatever_the_order(
-    case: tuple[list[Life], list[LossUpdate]],
+@given(delivered())
+def test_the_latest_silence_of_each_incarnation_counts_in_any_order(
+    case: tuple[list[IncarnationHistory], list[LossUpdate]],
 ) -> None:
-    _, words = case
-    book = told(words)
-    assert state(book) == expected(words)
+    _, messages = case
+    history = history_of(messages)
+    assert state(history) == expected(messages)
     for task in TASKS:
-        assert len(book.runners(task)) == len(set(book.runners(task)))
+        assert len(history.runners(task)) == len(set(history.runners(task)))
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
-@given(heard(), st.randoms(use_true_random=False))
-def test_the_same_words_in_another_order_leave_the_same_state(
-    case: tuple[list[Life], list[LossUpdate]], rng: object
+@given(delivered(), st.randoms(use_true_random=False))
+def test_the_order_of_messages_does_not_change_the_state(
+    case: tuple[list[IncarnationHistory], list[LossUpdate]], rng: object
 ) -> None:
-    _, words = case
-    other = [*words]
+    _, messages = case
+    other = [*messages]
     rng.shuffle(other)  # type: ignore[attr-defined]
-    assert state(told(words)) == state(told(other))
+    assert state(history_of(messages)) == state(history_of(other))
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
-@given(heard())
-def test_a_loss_that_its_life_outlived_never_stands_once_a_later_word_was_heard(
-    case: tuple[list[Life], list[LossUpdate]],
+@given(delivered())
+def test_a_loss_that_was_survived_never_counts_after_a_later_message(
+    case: tuple[list[IncarnationHistory], list[LossUpdate]],
 ) -> None:
-    truth, words = case
-    book = told(words)
+    truth, messages = case
+    history = history_of(messages)
     for incarnation in truth:
-        about = [word for word in words if word.loss.incarnation == incarnation.name]
+        own = [message for message in messages if message.loss.incarnation == incarnation.name]
         moment, tasks = incarnation.silences[-1]
-        if RunnerReturned(LossId.of(incarnation.name, moment)) in about:
+        if RunnerReturned(LossId.of(incarnation.name, moment)) in own:
             tasks = []
-        elif not any(word.loss.silent_ms == moment for word in about):
+        elif not any(message.loss.silent_ms == moment for message in own):
             continue
-        counted = [task for task in TASKS if incarnation.name in book.runners(task)]
+        counted = [task for task in TASKS if incarnation.name in history.runners(task)]
         assert set(counted) <= set(tasks)
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
-@given(heard())
-def test_a_job_is_told_of_ended_runners_only_if_enough_lives_ended_under_its_tasks(
-    case: tuple[list[Life], list[LossUpdate]],
+@given(delivered())
+def test_ended_runners_are_reported_only_if_enough_ended_with_a_task(
+    case: tuple[list[IncarnationHistory], list[LossUpdate]],
 ) -> None:
-    truth, words = case
+    truth, messages = case
     retries = Retries()
-    for word in words:
-        retries.learn(1.0, word, "t")
+    for message in messages:
+        retries.learn(1.0, message, "t")
     known = [
         [
             incarnation
             for incarnation in truth
-            if task in (incarnation.ended or ()) and says_ended(words, incarnation)
+            if task in (incarnation.ended or ()) and was_reported_ended(messages, incarnation)
         ]
         for task in TASKS
     ]
     outcome = retries.outcome(1.0, new_record())
-    counts = any(len(runners) >= MAX_LOST_RUNNERS for runners, _ in expected(words).values())
+    counts = any(len(runners) >= MAX_LOST_RUNNERS for runners, _ in expected(messages).values())
     assert (outcome is None) != counts
     if outcome == GivenUp(ENDED_RUNNERS):
         assert any(len(ended) >= MAX_LOST_RUNNERS for ended in known)
@@ -185,26 +187,26 @@
         assert outcome == GivenUp(SILENT_RUNNERS)
 
 
-def says_ended(words: list[LossUpdate], incarnation: Life) -> bool:
+def was_reported_ended(messages: list[LossUpdate], incarnation: IncarnationHistory) -> bool:
     return any(
         isinstance(w, RunnerLost) and w.ended and w.loss.incarnation == incarnation.name
-        for w in words
+        for w in messages
     )
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
-@given(heard(), st.integers(0, 20))
-def test_what_two_books_hand_on_together_is_what_one_would_know(
-    case: tuple[list[Life], list[LossUpdate]], cut: int
+@given(delivered(), st.integers(0, 20))
+def test_the_exports_of_two_histories_add_up_to_one(
+    case: tuple[list[IncarnationHistory], list[LossUpdate]], cut: int
 ) -> None:
-    _, words = case
-    halves = told(words[:cut]), told(words[cut:])
-    third = told(news for book in halves for news in book.export(1.0))
-    assert state(third) == state(told(words))
+    _, messages = case
+    halves = history_of(messages[:cut]), history_of(messages[cut:])
+    third = history_of(news for history in halves for news in history.export(1.0))
+    assert state(third) == state(history_of(messages))
 
 
-@pytest.mark.parametrize("word", [RunnerLost(LossId("i-1", 5), [TASKS[0]], ended=[TASKS[0]])])
-def test_a_newer_silence_of_a_life_drops_all_of_its_earlier_one(word: RunnerLost) -> None:
-    """It can't have ended then; two such words of one life would have different tellers."""
-    book = told([word, RunnerLost(LossId("i-1", 6), [TASKS[1]])])
-    assert state(book)[TASKS[0]] == (set(), set())
+@pytest.mark.parametrize("message", [RunnerLost(LossId("i-1", 5), [TASKS[0]], ended=[TASKS[0]])])
+def test_a_newer_silence_of_an_incarnation_voids_its_earlier_one(message: RunnerLost) -> None:
+    """It can't have ended then; two such messages on one incarnation have different senders."""
+    history = history_of([message, RunnerLost(LossId("i-1", 6), [TASKS[1]])])
+    assert state(history)[TASKS[0]] == (set(), set())
--- a/testing/core/leased/test_rendezvous.py
+++ b/testing/core/leased/test_rendezvous.py
@@ -1,11 +1,11 @@
-"""Places in an order of choice."""
+"""Rendezvous ranks."""
 
 import pytest
 from paddleshunt_core.leased.rendezvous import rendezvous_rank
 
 
 @pytest.mark.parametrize(
-    ("chooser", "candidate", "place"),
+    ("chooser", "candidate", "expected"),
     [
         ("q", "t0", 14553787785617413897),
         ("t0", "q", 9201089083285690654),
@@ -13,7 +13,7 @@
     ],
     ids=["one", "the-other-way", "not-ascii"],
 )
-def test_a_place_is_the_same_in_all_processes_and_releases(
-    chooser: str, candidate: str, place: int
+def test_a_rank_is_the_same_in_all_processes_and_releases(
+    chooser: str, candidate: str, expected: int
 ) -> None:
-    assert rendezvous_rank(chooser, candidate) == place
+    assert rendezvous_rank(chooser, candidate) == expected
