--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -92,12 +92,12 @@
 class Containment:
     """The confined queues from the view of one entry."""
 
-    def __init__(self, reconsidered: float) -> None:
+    def __init__(self, restart_seconds: float) -> None:
         """Start with no evidence.
 
-        `reconsidered` is the time from a loss until the lost tasks can run again, in seconds.
+        `restart_seconds` is the time from a loss until the lost tasks can run again, in seconds.
         """
-        self._evidence_log = CrashEvidence(reconsidered)
+        self._evidence_log = CrashEvidence(restart_seconds)
         self._services: dict[str, str] = {}
         """Service of each queue that had a job here."""
         self._confined: dict[str, _Confinement] = {}
