--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
@@ -52,7 +52,7 @@
         """Return the targets of a service that tasks may be sent to."""
         if service not in self._usable:
             self._usable[service] = [
-                t for t in self._targets if t.takes(self._now, service, self._times)
+                t for t in self._targets if t.can_accept(self._now, service, self._times)
             ]
         return self._usable[service]
 
