--- a/testing/core/leased/test_targetsnapshot.py
+++ b/testing/core/leased/test_targetsnapshot.py
@@ -13,7 +13,7 @@
 
 
 def target(name: str, free: Resources, service: str = "svc") -> TargetRecord:
-    record = TargetRecord(name, "hall", "1", Session(1, 0), connected=True, heard=10.0)
+    record = TargetRecord(name, "hall", "1", Session(1, 0), connected=True, last_received=10.0)
     record.report = RunnerReport(service, name, RunnerState.READY, Health.GOOD, SIZE, free)
     return record
 
@@ -38,7 +38,7 @@
 def test_a_silent_target_is_known_but_has_no_room(*, held: bool, silence: float) -> None:
     silent = target("t1", SIZE)
     if held:
-        silent.place(10.0, RunId(TaskId("job", 0, 0), 1))
+        silent.record_run(10.0, RunId(TaskId("job", 0, 0), 1))
     assert room(silent, now=10.0 + silence - 0.01).usable("svc") == [silent]
     view = room(silent, now=10.0 + silence + 0.01)
     assert [t.name for t in view.known("svc")] == ["t1"]
