--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -21,7 +21,7 @@
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, HALL_PREFERENCE, LeaseTimes
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.containment import Containment
-from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations, evacuation_note
+from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations, evacuation_log
 from paddleshunt_core.leased.jobs import (
     STALE_STEP,
     JobRecord,
@@ -46,7 +46,7 @@
 from paddleshunt_core.leased.retries import Retries
 from paddleshunt_core.leased.runtimeestimator import RuntimeEstimator
 from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
-from paddleshunt_core.leased.speeds import Speeds, kind_note
+from paddleshunt_core.leased.speeds import Speeds, kind_speed_log
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.targetsnapshot import TargetSnapshot
 from paddleshunt_core.leased.wants import Wants
@@ -255,7 +255,7 @@
         for target in self._targets.values():
             if target.session is not None:
                 target.session.send(EvacuationUpdate(self._evacuations.known))
-        return [evacuation_note(self._evacuations, source), *self._place(now)]
+        return [evacuation_log(self._evacuations, source), *self._place(now)]
 
     # Lost runners.
 
@@ -307,7 +307,7 @@
         taken = self._speeds.merge(news)
         if taken:
             self._speeds.refresh(now, self._targets.values())
-        return [kind_note(word, source) for word in taken]
+        return [kind_speed_log(word, source) for word in taken]
 
     # Targets.
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
@@ -51,7 +51,7 @@
         return later and set(told.halls) != set(self._known.halls)
 
 
-def evacuation_note(evacuations: Evacuations, source: str) -> Log:
+def evacuation_log(evacuations: Evacuations, source: str) -> Log:
     """Return the line that says which halls are evacuated now, and who told."""
     known = evacuations.known
     halls = ",".join(known.halls)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -1,4 +1,4 @@
-"""What the ends of tasks teach an entry: how long tasks take, and how slow hosts are."""
+"""Estimates of task lengths and host speeds, from the tasks that complete."""
 
 from collections.abc import Mapping
 from typing import final
@@ -14,7 +14,7 @@
 
 @final
 class RuntimeEstimator:
-    """Learns from the ends that one entry sees."""
+    """Predicts task lengths and updates the models from the completions that one entry sees."""
 
     def __init__(self, placement: Placement, speeds: Speeds) -> None:
         self._placement = placement
@@ -22,15 +22,15 @@
         self._lengths = TaskLengthModels()
 
     def predict(self, queue: Queue, request: JobRequest) -> JobPrediction:
-        """Return how long a task of a job is expected to take, and how old the job seems."""
+        """Return the expected length of a job's tasks, and the job's probable age."""
         return self._lengths.of(queue.name).predict(request.estimate, request.deadline)
 
     def task_completed(
         self, now: float, job: JobRecord, task: TaskRecord, target: TargetRecord
     ) -> None:
-        """Learn from a task that has ended well how long its queue's tasks take.
+        """Update the queue's length model from a completed task.
 
-        One on a runner that is not well says nothing, nor does one that was sent to a cold runner.
+        Tasks of unhealthy runners are ignored, and so are those sent to a cold runner.
         """
         if target.is_cold(task.placed_at):
             return
@@ -39,15 +39,15 @@
         request = job.request
         work = work_seconds(now - task.placed_at) / self._placement.locality_factor(job, target)
         task.work, task.ran_on = work, target.runner
-        sound = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
-        self._lengths.of(job.queue.name).observe(request.estimate, request.deadline, sound)
+        normalized = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
+        self._lengths.of(job.queue.name).observe(request.estimate, request.deadline, normalized)
 
     def compare_tasks(self, job: JobRecord, targets: Mapping[str, TargetRecord]) -> None:
-        """Learn from what the tasks of a job that has ended took how slow hosts are."""
-        done = [
+        """Update host speeds from the run times of a completed job's tasks."""
+        samples = [
             (target, task.work)
             for task in job.tasks
             if task.work and (target := targets.get(task.target)) is not None
             if target.runner == task.ran_on
         ]
-        self._speeds.compare_tasks(job.length, done)
+        self._speeds.compare_tasks(job.length, samples)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -1,10 +1,10 @@
-"""How slow hosts are, by their kind: learned from ends, shared by entries, handed to new runners.
+"""Relative slowness of hosts by kind, learned from completions and shared between entries.
 
-A kind's factor says how many times as long a task takes there as elsewhere; what one runner
-differs by from its kind is its own deviation (`TargetRecord.deviation`). Both are learned by
-comparing the tasks of one job, which are alike, so that a wrong length says nothing of a host.
-That matters: the tasks that are thought to be short are those that slow hosts are given. Lengths
-are meant for a usual host (`typical_slowness`, the mean over the targets known).
+A kind's factor is the ratio of task times on it and elsewhere; a runner's difference from its kind
+is its own deviation (`TargetRecord.deviation`). Both come from comparing the tasks of one job,
+which are alike, so a wrong expected length doesn't affect them. That matters because tasks expected
+to be short are the ones placed on slow hosts. Expected lengths refer to a typical host
+(`typical_slowness`, the mean over the known targets).
 """
 
 from collections.abc import Iterable
@@ -16,90 +16,90 @@
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import KindSpeed, SpeedUpdate
 
-MEMORY_ENDS = 200.0
-"""Ends that count in a kind's factor at most: a change of it is followed within about so many."""
+MAX_WEIGHT = 200.0
+"""Largest weight of a kind's factor, in completions; it follows a change within about as many."""
 
 LENGTH_WEIGHT = 0.02
-"""Weight, in ends, of a task's time against its expected length, for its kind.
+"""Weight of a task's time against its expected length, in completions, for its kind.
 
-It counts only where next to no job has run on two kinds: slow hosts are given what is thought too
-short, which makes them look slower still.
+It is used only if hardly any job has run on two kinds: slow hosts get the tasks whose length is
+underestimated, which makes them look slower still.
 """
 
-COMPARED_ENOUGH = 4.0
-"""Ends behind a factor from which lengths say nothing of the kind any more."""
+MIN_COMPARED = 4.0
+"""Compared completions of a kind from which expected lengths are ignored."""
 
-LENGTH_WEIGHT_ALONE = 0.3
-"""The same for a runner's deviation, where a job has no other task to compare with."""
+LONE_TASK_WEIGHT = 0.3
+"""Weight of a task's time against its expected length, for the deviation, if it ran alone."""
 
-BELIEF_ENDS = 1.0
-"""Weight, in ends, of the belief that a kind is like any other."""
+PRIOR_WEIGHT = 1.0
+"""Prior weight, in completions, of a kind being like any other."""
 
-FARTHEST_STEP = 1.35
-"""By how many times an end may differ from its kind's factor in what is learned from it.
+MAX_STEP = 1.35
+"""Largest ratio to its kind's factor with which a completion counts.
 
-A few runners that turn slow then say little of their kind; their deviation takes it up.
+A few runners that turn slow then hardly affect their kind; their deviation absorbs it.
 """
 
-SURPRISE = 0.9
-"""What is left of the evidence after an end that differs by more than that.
+OUTLIER_DECAY = 0.9
+"""Factor that evidence is multiplied by after a completion beyond that ratio.
 
-One runner that turned slow gives few of them; a factor that is wrong, or a kind that has changed,
-gives nothing else, and is so followed within some hundred ends however much evidence there was.
+A single slow runner causes few of these. A wrong factor, or a kind that has changed, causes nothing
+else, so the old evidence is soon gone.
 """
 
-FARTHEST_FACTOR = 8.0
-"""By which factor a kind may be slower or faster than a usual one, whoever says so."""
+MAX_FACTOR = 8.0
+"""Largest factor of a kind, and its inverse the smallest, whatever the source."""
 
 
-HALF_LIFE = 300.0
-"""Seconds without an end after which half of the evidence on a kind is left.
+HALF_LIFE_SECONDS = 300.0
+"""Seconds without a completion that halve the evidence on a kind.
 
-A factor fades to 1 with its evidence.
+A factor approaches 1 with its evidence gone.
 """
 
-AVOIDED_SECONDS = 60.0
-"""Seconds without an end after which a kind counts as avoided if others of its service have some.
+AVOIDED_AFTER_SECONDS = 60.0
+"""Seconds without a completion after which a kind is avoided, if others of its service have some.
 
-From then on what it differs by from those halves in as long, and so do its own ends: a kind that
-was slow for a while is tried again within minutes.
+From then on its difference from those kinds halves in the same time, and so does its own evidence,
+so that a kind that was slow for a while is tried again.
 """
 
-LEAST_TOLD = 5.0
-"""Ends of its own below which an entry tells the others nothing of a kind."""
+MIN_SHARED_COMPLETIONS = 5.0
+"""Own completions below which an entry shares nothing on a kind."""
 
-PROVEN = 10.0
-"""Ends of its own below which an entry has yet to see for itself how slow a kind is.
+MIN_PROVEN_COMPLETIONS = 10.0
+"""Own completions below which a kind counts as unproven.
 
-Ends that all surprise never come to so many: a tenth of the evidence goes with each.
+Completions that are all outliers never reach it, as each costs a tenth of the evidence.
 """
 
-FARTHEST_WORD = 4.0
-"""By which factor a kind may differ from a usual one for another entry's word to be taken so."""
+MAX_SHARED_FACTOR = 4.0
+"""Largest factor of a kind that is taken over from another entry."""
 
-TOLD_CHANGE = 1.05
-"""Change of a factor, as a ratio, from which the others are told again."""
+SHARED_CHANGE = 1.05
+"""Ratio by which a factor must change to be shared again."""
 
-TOLD_GROWTH = 2.0
-"""By how many times the ends behind a factor must have grown for the others to be told again."""
+SHARED_GROWTH = 2.0
+"""Ratio by which the completions behind a factor must grow to be shared again."""
 
-TRUSTED_MORE = 2.0
-"""How many times an entry's own evidence another's must be for its word to be taken."""
+ADOPTION_RATIO = 2.0
+"""Ratio of another entry's evidence and this one's from which it is taken over."""
 
-COMPARE_SECONDS = 0.5
-"""Seconds between two looks at all targets; one takes some 0.2 ms of processor at 640 of them."""
+REFRESH_SECONDS = 0.5
+"""Seconds between two refreshes of all targets."""
 
-MOST_COMPARED = 16
-"""Tasks of a job that are compared, each with each; 8 take 60 us of processor."""
+MAX_COMPARED = 16
+"""Tasks of a job that are compared, each with all others."""
 
-LEAST_SECONDS = 0.001
-"""Shortest time that a task is taken to need."""
+MIN_SECONDS = 0.001
+"""Shortest run time assumed for a task, in seconds."""
 
-MOST_KINDS = 64
-"""Kinds that are remembered; a fleet has a few, and a name that is told may be nonsense."""
+MAX_KINDS = 64
+"""Kinds kept; a bound on what other entries may report."""
 
-LONGEST_NAME = 200
-"""Characters of a service's or kind's name that is taken from another entry."""
+MAX_NAME_LENGTH = 200
+"""Characters of a service's or kind's name that is accepted from another entry."""
 
 Kind = tuple[str, str]
 """A service and the kind of host on which its tasks run."""
@@ -107,159 +107,157 @@
 
 @final
 class _Sample:
-    """How long one task of a job worked, and the length that it tells of."""
+    """The run time of one task of a job, and the task lengths that it implies."""
 
     def __init__(self, target: TargetRecord, kind: Kind, factor: float, work: float) -> None:
         self.target = target
         self.kind = kind
-        usual = max(LEAST_SECONDS, work) / factor
-        self.length = usual / target.deviation
-        """By what is known of the runner itself."""
-        self.kind_length = usual
-        """By what is known of its kind: a factor must not lean on deviations, nor they on it."""
+        baseline = max(MIN_SECONDS, work) / factor
+        self.length = baseline / target.deviation
+        """Implied length given the runner's kind and deviation."""
+        self.kind_length = baseline
+        """Implied length given the kind alone, so that factors don't depend on deviations."""
 
 
 @final
 @dataclass(slots=True)
 class _Evidence:
-    """What is known of one kind."""
+    """The evidence on one kind."""
 
-    seen: float = 1.0
-    """The factor by the ends alone, without the belief that a kind is like any other."""
+    raw_factor: float = 1.0
+    """The factor from completions alone, without the prior."""
     weight: float = 0.0
-    """Ends that count; those that another entry saw included."""
-    own: float = 0.0
-    """Ends that this entry saw itself."""
-    paired: float = 0.0
-    """Ends that were compared with others of their job, or told."""
-    told: float = 1.0
-    """The factor that the others were told last."""
-    told_own: float = 0.0
-    idle: float = 0.0
-    """Seconds since the last end."""
+    """Completions that count, including those of other entries."""
+    own_weight: float = 0.0
+    """Completions that this entry saw itself."""
+    compared: float = 0.0
+    """Completions that were compared with others of their job, or came from another entry."""
+    shared: float = 1.0
+    """The factor that was shared last."""
+    shared_own: float = 0.0
+    idle_seconds: float = 0.0
+    """Seconds since the last completion."""
 
     @property
     def factor(self) -> float:
-        """How many times as long tasks take there; close to 1 with little evidence."""
-        factor: float = self.seen ** (self.weight / (self.weight + BELIEF_ENDS))
+        """Ratio of task times on the kind and elsewhere; near 1 with little evidence."""
+        factor: float = self.raw_factor ** (self.weight / (self.weight + PRIOR_WEIGHT))
         return factor
 
-    def compared(self, ratio: float, weight: float) -> None:
-        """Note how many times as long a task took as the factor says."""
-        if not 1 / FARTHEST_STEP <= ratio <= FARTHEST_STEP:
-            self.weight *= SURPRISE
-            self.own *= SURPRISE
-        self.weight = min(self.weight + weight, MEMORY_ENDS)
-        self.own = min(self.own + weight, MEMORY_ENDS)
-        step = _bounded(ratio, FARTHEST_STEP) ** (weight / (self.weight + BELIEF_ENDS))
-        self.seen = _bounded(self.seen * step, FARTHEST_FACTOR)
+    def add_ratio(self, ratio: float, weight: float) -> None:
+        """Add a completion that took `ratio` times as long as the factor implies."""
+        if not 1 / MAX_STEP <= ratio <= MAX_STEP:
+            self.weight *= OUTLIER_DECAY
+            self.own_weight *= OUTLIER_DECAY
+        self.weight = min(self.weight + weight, MAX_WEIGHT)
+        self.own_weight = min(self.own_weight + weight, MAX_WEIGHT)
+        step = _clamped(ratio, MAX_STEP) ** (weight / (self.weight + PRIOR_WEIGHT))
+        self.raw_factor = _clamped(self.raw_factor * step, MAX_FACTOR)
 
-    def faded(self, seconds: float, others: float | None) -> None:
-        """Let go of evidence by the passing of so many seconds.
+    def decay(self, seconds: float, others: float | None) -> None:
+        """Decay the evidence by the passing of so many seconds.
 
-        `others` is the factor of the kinds that are in use; None if none is.
+        `others` is the mean factor of the service's kinds in use; None if there is none.
         """
-        left: float = 0.5 ** (seconds / HALF_LIFE)
-        self.idle += seconds
+        left: float = 0.5 ** (seconds / HALF_LIFE_SECONDS)
+        self.idle_seconds += seconds
         self.weight *= left
-        self.own *= left
-        self.paired *= left
-        if others is not None and self.idle >= AVOIDED_SECONDS:
-            soon: float = 0.5 ** (seconds / AVOIDED_SECONDS)
-            self.seen = others * (self.seen / others) ** soon
-            self.own *= soon
-
-    def is_news(self) -> bool:
-        """Whether the others don't know yet what was learned here."""
-        if self.own < LEAST_TOLD:
+        self.own_weight *= left
+        self.compared *= left
+        if others is not None and self.idle_seconds >= AVOIDED_AFTER_SECONDS:
+            soon: float = 0.5 ** (seconds / AVOIDED_AFTER_SECONDS)
+            self.raw_factor = others * (self.raw_factor / others) ** soon
+            self.own_weight *= soon
+
+    def is_unshared(self) -> bool:
+        """Whether there is enough new evidence to share."""
+        if self.own_weight < MIN_SHARED_COMPLETIONS:
             return False
-        changed = not 1 / TOLD_CHANGE <= self.seen / self.told <= TOLD_CHANGE
-        return changed or self.own > TOLD_GROWTH * self.told_own
+        changed = not 1 / SHARED_CHANGE <= self.raw_factor / self.shared <= SHARED_CHANGE
+        return changed or self.own_weight > SHARED_GROWTH * self.shared_own
 
 
 @final
 class Speeds:
-    """The factors of all kinds that an entry knows."""
+    """The factors of all kinds known to an entry."""
 
     def __init__(self) -> None:
         self._kinds: dict[Kind, _Evidence] = {}
-        self._typical: dict[str, float] = {}
-        self._unproven: set[str] = set()
-        self._present: set[Kind] = set()
-        """Kinds that a target reported to be."""
-        self._faded: float | None = None
+        self._typical_by_service: dict[str, float] = {}
+        self._unproven_services: set[str] = set()
+        self._reported_kinds: set[Kind] = set()
+        """Kinds that targets have reported."""
+        self._refreshed_at: float | None = None
 
     def typical_slowness(self, service: str) -> float:
-        """Return the slowness of a usual host; a job's length is meant for such a one."""
-        return self._typical.get(service, 1.0)
+        """Return the slowness of a typical host, which expected lengths refer to."""
+        return self._typical_by_service.get(service, 1.0)
 
     def factor(self, service: str, kind: str) -> float:
-        """Return how many times as long as expected tasks take on a kind of host."""
+        """Return the ratio of task times on a kind of host and elsewhere."""
         known = self._kinds.get((service, kind))
         return known.factor if known is not None else 1.0
 
     def is_unproven(self, service: str) -> bool:
-        """Whether what is known of a service's kinds was not seen here: jobs must run on several.
-
-        A factor that is wrong keeps jobs from one of two kinds, and so from what would show it.
-        """
-        return service in self._unproven
+        """Whether one of a service's several kinds is unproven here: jobs must then mix them."""
+        return service in self._unproven_services
 
     def set_kind_factor(self, target: TargetRecord) -> None:
-        """Give a target the factor of the kind that its report names."""
+        """Set a target's factor to that of the kind in its report."""
         report = target.report
         if report is not None:
-            self._present.add((report.service, report.kind))
+            self._reported_kinds.add((report.service, report.kind))
             target.kind_factor = self.factor(report.service, report.kind)
 
-    def compare_tasks(self, length: float, done: Iterable[tuple[TargetRecord, float]]) -> None:
-        """Learn from a job that has ended: where each of its tasks worked for how many seconds.
+    def compare_tasks(self, length: float, completed: Iterable[tuple[TargetRecord, float]]) -> None:
+        """Update factors and deviations from the run times of a completed job's tasks.
 
-        `length` is what one was expected to take. Only tasks of runners that are well count.
+        `completed` pairs the target and the run time in seconds of each task; `length` is the
+        expected run time. Only tasks of healthy runners belong there.
         """
         samples = []
-        for target, work in list(done)[:MOST_COMPARED]:
+        for target, work in list(completed)[:MAX_COMPARED]:
             if target.report is not None:
                 kind = (target.report.service, target.report.kind)
                 samples.append(_Sample(target, kind, self.factor(*kind), work))
-        expected = max(LEAST_SECONDS, length)
+        expected = max(MIN_SECONDS, length)
         for sample in samples:
             others = [s.kind_length for s in samples if s.kind != sample.kind]
             evidence = self._evidence(sample.kind)
-            evidence.idle = 0.0
+            evidence.idle_seconds = 0.0
             if others:
-                usual = _mean(others)
+                baseline = _geometric_mean(others)
                 weight = len(others) / (len(others) + 1)
-                evidence.compared(sample.kind_length / usual, weight)
-                evidence.paired = min(evidence.paired + weight, MEMORY_ENDS)
-            elif evidence.paired < COMPARED_ENOUGH:
-                evidence.compared(sample.kind_length / expected, LENGTH_WEIGHT)
+                evidence.add_ratio(sample.kind_length / baseline, weight)
+                evidence.compared = min(evidence.compared + weight, MAX_WEIGHT)
+            elif evidence.compared < MIN_COMPARED:
+                evidence.add_ratio(sample.kind_length / expected, LENGTH_WEIGHT)
         for sample in samples:
             others = [s.length for s in samples if s is not sample]
             if others:
-                sample.target.observe_duration_ratio(sample.length / _mean(others), 1.0)
+                sample.target.observe_duration_ratio(sample.length / _geometric_mean(others), 1.0)
             else:
-                # A length is meant for a usual host, and what a sample tells for one of factor 1.
+                # The expected length refers to a typical host, a sample's to one of factor 1.
                 ratio = sample.length * self.typical_slowness(sample.kind[0]) / expected
-                sample.target.observe_duration_ratio(ratio, LENGTH_WEIGHT_ALONE)
+                sample.target.observe_duration_ratio(ratio, LONE_TASK_WEIGHT)
             self.set_kind_factor(sample.target)
 
     def tick(self, now: float, targets: Iterable[TargetRecord]) -> None:
-        """Compare hosts if they have not been for a while."""
-        if self._faded is None or now >= self._faded + COMPARE_SECONDS:
+        """Refresh the targets' factors if that is due."""
+        if self._refreshed_at is None or now >= self._refreshed_at + REFRESH_SECONDS:
             self.refresh(now, targets)
 
     def refresh(self, now: float, targets: Iterable[TargetRecord]) -> None:
-        """Note how slow hosts usually are, and let go of what has not shown for a while."""
-        seconds = 0.0 if self._faded is None else max(0.0, now - self._faded)
-        self._faded = now
+        """Update the targets' factors and the typical slowness, and decay old evidence."""
+        seconds = 0.0 if self._refreshed_at is None else max(0.0, now - self._refreshed_at)
+        self._refreshed_at = now
         in_use: dict[str, list[float]] = {}
         for kind, evidence in self._kinds.items():
-            if evidence.idle < AVOIDED_SECONDS:
-                in_use.setdefault(kind[0], []).append(evidence.seen)
-        others = {service: _mean(factors) for service, factors in in_use.items()}
+            if evidence.idle_seconds < AVOIDED_AFTER_SECONDS:
+                in_use.setdefault(kind[0], []).append(evidence.raw_factor)
+        others = {service: _geometric_mean(factors) for service, factors in in_use.items()}
         for kind, evidence in self._kinds.items():
-            evidence.faded(seconds, others.get(kind[0]))
+            evidence.decay(seconds, others.get(kind[0]))
         factors: dict[str, list[float]] = {}
         known: dict[Kind, float] = {}
         for target in targets:
@@ -274,103 +272,103 @@
             if target.deviation != 1.0:
                 target.decay_deviation(seconds)
             factors.setdefault(report.service, []).append(factor)
-        self._present = set(known)
-        self._note_unproven(known)
-        self._typical = {name: sum(each) / len(each) for name, each in factors.items()}
+        self._reported_kinds = set(known)
+        self._collect_unproven(known)
+        self._typical_by_service = {name: sum(each) / len(each) for name, each in factors.items()}
 
     def snapshot(self) -> list[KindSpeed]:
-        """Return what is known of each kind, for operators; other entries are told less."""
-        return [self._word(kind, evidence) for kind, evidence in self._kinds.items()]
+        """Return the evidence on each kind, for operators; other entries get less."""
+        return [self._message(kind, evidence) for kind, evidence in self._kinds.items()]
 
-    def _note_unproven(self, present: Iterable[Kind]) -> None:
-        """Note the services that have several kinds of hosts, one of them not seen here yet."""
+    def _collect_unproven(self, present: Iterable[Kind]) -> None:
+        """Collect the services with several kinds of hosts of which one is unproven here."""
         kinds: dict[str, list[bool]] = {}
         for kind in present:
             kinds.setdefault(kind[0], []).append(self._is_proven(kind))
-        self._unproven = {name for name, each in kinds.items() if len(each) > 1 and not all(each)}
+        self._unproven_services = {
+            name for name, each in kinds.items() if len(each) > 1 and not all(each)
+        }
 
     def _is_proven(self, kind: Kind) -> bool:
         known = self._kinds.get(kind)
-        return known is not None and known.own >= PROVEN
-
-    # Other entries.
+        return known is not None and known.own_weight >= MIN_PROVEN_COMPLETIONS
 
     def export(self) -> SpeedUpdate | None:
-        """Return all that was learned here, for an entry that was just met."""
+        """Return all that was learned here, for an entry that has just connected."""
         kinds = [
-            self._word(kind, evidence)
+            self._message(kind, evidence)
             for kind, evidence in self._kinds.items()
-            if evidence.own >= LEAST_TOLD
+            if evidence.own_weight >= MIN_SHARED_COMPLETIONS
         ]
         return SpeedUpdate(kinds) if kinds else None
 
     def take_changes(self) -> SpeedUpdate | None:
-        """Return what was learned here since the last call; None if that is nothing."""
+        """Return what was learned here since the last call; None if nothing was."""
         kinds = []
         for kind, evidence in self._kinds.items():
-            if evidence.is_news():
-                evidence.told, evidence.told_own = evidence.seen, evidence.own
-                kinds.append(self._word(kind, evidence))
+            if evidence.is_unshared():
+                evidence.shared, evidence.shared_own = evidence.raw_factor, evidence.own_weight
+                kinds.append(self._message(kind, evidence))
         return SpeedUpdate(kinds) if kinds else None
 
     def merge(self, news: SpeedUpdate) -> list[KindSpeed]:
-        """Take another entry's word where it knows much more, and return what was taken.
+        """Adopt another entry's evidence where it is much stronger; return what was adopted.
 
-        What is taken counts for a few ends, so that those seen here soon weigh more, and is told
-        to nobody: no word comes back as another's.
+        Adopted evidence counts as a few completions, so that own ones soon outweigh it, and is not
+        shared again, so that nothing comes back as another's.
         """
-        return [word for word in news.kinds[:MOST_KINDS] if self._adopt(word)]
+        return [message for message in news.kinds[:MAX_KINDS] if self._adopt(message)]
 
-    def _adopt(self, word: KindSpeed) -> bool:
-        kind = (word.service, word.kind)
+    def _adopt(self, message: KindSpeed) -> bool:
+        kind = (message.service, message.kind)
         known = self._kinds.get(kind)
-        ends = min(float(word.ends), MEMORY_ENDS)
-        if not _is_sensible(word) or ends <= TRUSTED_MORE * (known.weight if known else 0.0):
+        ends = min(float(message.ends), MAX_WEIGHT)
+        if not _is_plausible(message) or ends <= ADOPTION_RATIO * (known.weight if known else 0.0):
             return False
-        if known is not None and known.own >= PROVEN:
+        if known is not None and known.own_weight >= MIN_PROVEN_COMPLETIONS:
             return False
         if known is None:
-            if len(self._kinds) >= MOST_KINDS and kind not in self._present:
+            if len(self._kinds) >= MAX_KINDS and kind not in self._reported_kinds:
                 return False
             known = self._evidence(kind)
-        slowness = _bounded(word.slowness_thousandths / 1000, FARTHEST_WORD)
-        factor = slowness * self.typical_slowness(word.service)
-        known.weight = known.paired = min(ends / TRUSTED_MORE, PROVEN)
-        seen = factor ** ((known.weight + BELIEF_ENDS) / known.weight)
-        known.seen = known.told = _bounded(seen, FARTHEST_FACTOR)
-        known.own = known.told_own = 0.0
+        slowness = _clamped(message.slowness_thousandths / 1000, MAX_SHARED_FACTOR)
+        factor = slowness * self.typical_slowness(message.service)
+        known.weight = known.compared = min(ends / ADOPTION_RATIO, MIN_PROVEN_COMPLETIONS)
+        raw_factor = factor ** ((known.weight + PRIOR_WEIGHT) / known.weight)
+        known.raw_factor = known.shared = _clamped(raw_factor, MAX_FACTOR)
+        known.own_weight = known.shared_own = 0.0
         return True
 
-    def _word(self, kind: Kind, evidence: _Evidence) -> KindSpeed:
+    def _message(self, kind: Kind, evidence: _Evidence) -> KindSpeed:
         service, name = kind
         slowness = evidence.factor / self.typical_slowness(service)
-        return KindSpeed(service, name, round(1000 * slowness), round(evidence.own))
+        return KindSpeed(service, name, round(1000 * slowness), round(evidence.own_weight))
 
     def _evidence(self, kind: Kind) -> _Evidence:
-        """Return what is known of a kind; for a new one another is forgotten.
+        """Return the evidence on a kind, dropping another kind's to make room for a new one.
 
-        First goes one that no target is of, then one of which this entry has seen least itself.
+        Kinds without a target are dropped first, then those with the least evidence of its own.
         """
         known = self._kinds.get(kind)
         if known is None:
-            if len(self._kinds) >= MOST_KINDS:
-                del self._kinds[min(self._kinds, key=self._worth)]
+            if len(self._kinds) >= MAX_KINDS:
+                del self._kinds[min(self._kinds, key=self._priority)]
             known = self._kinds[kind] = _Evidence()
         return known
 
-    def _worth(self, kind: Kind) -> tuple[bool, float, float]:
-        """Return what counts for remembering a kind, the most important first."""
+    def _priority(self, kind: Kind) -> tuple[bool, float, float]:
+        """Return a kind's priority for being kept, the most important criterion first."""
         known = self._kinds[kind]
-        return kind in self._present, known.own, known.weight
+        return kind in self._reported_kinds, known.own_weight, known.weight
 
 
-def _bounded(ratio: float, farthest: float) -> float:
-    """Return a ratio, or the bound that it goes beyond, either way."""
-    return min(farthest, max(1 / farthest, ratio))
+def _clamped(ratio: float, limit: float) -> float:
+    """Return a ratio limited to `limit` and its inverse."""
+    return min(limit, max(1 / limit, ratio))
 
 
-def _mean(lengths: list[float]) -> float:
-    """Return the geometric mean: half as long and twice as long even out."""
+def _geometric_mean(lengths: list[float]) -> float:
+    """Return the geometric mean, in which half and twice cancel out."""
     product = 1.0
     for length in lengths:
         product *= length ** (1 / len(lengths))
@@ -378,23 +376,23 @@
 
 
 def work_seconds(took: float) -> float:
-    """Return how long a run worked that took so many seconds from its sending to its end."""
+    """Return the run time of a task that took so many seconds from its assignment to its end."""
     return max(took / 2, took - OVERHEAD_SECONDS)
 
 
-def kind_note(word: KindSpeed, source: str) -> Log:
-    """Return the line that says what was taken from another entry."""
+def kind_speed_log(message: KindSpeed, source: str) -> Log:
+    """Return the log line for evidence adopted from another entry."""
     fields: dict[str, str | int | float] = {
-        "service": word.service,
-        "kind": word.kind,
-        "slowness": word.slowness_thousandths / 1000,
-        "ends": word.ends,
+        "service": message.service,
+        "kind": message.kind,
+        "slowness": message.slowness_thousandths / 1000,
+        "ends": message.ends,
         "source": source,
     }
     return note("kind_speed_taken", **fields)
 
 
-def _is_sensible(word: KindSpeed) -> bool:
-    """Whether another entry's word may be meant; its size is bounded where it is taken."""
-    named = max(len(word.service), len(word.kind)) <= LONGEST_NAME
-    return named and word.slowness_thousandths > 0 and word.ends > 0
+def _is_plausible(message: KindSpeed) -> bool:
+    """Whether another entry's evidence is plausible; its size is limited when adopted."""
+    named = max(len(message.service), len(message.kind)) <= MAX_NAME_LENGTH
+    return named and message.slowness_thousandths > 0 and message.ends > 0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -1,47 +1,39 @@
-"""How long tasks really take: a line for each queue, fitted to the ends that an entry has seen.
+"""Prediction of task lengths: a linear model per queue, fitted to observed completions.
 
-A caller gives a rough estimate of a task's length, and says how long it waits for the answer.
-Who hands in longer work waits longer, so both tell of the length; how much each tells is learned
-from the ends of tasks. Until some were seen, the estimate is taken as it is.
+A caller gives a rough estimate of a task's length, and a deadline. Callers with longer work wait
+longer, so both carry information; how much is learned from completions. Until there are any, the
+estimate is used as it is.
 
-A caller that sends a job again waits only for the rest of its time. Such a job shows by a deadline
-that is too short for any length its estimate allows, which gives its age away.
+A caller that resends a job sets a deadline of only the remaining time. Such a job is recognized by
+a deadline too short for any length that its estimate allows, which also shows its age.
 """
 
 from dataclasses import dataclass
 from typing import final
 
-MEMORY = 0.995
-"""What is left of an end's weight after the next: about the last 200 ends count."""
+DECAY = 0.995
+"""Factor by which an observation's weight decays with each new one: about the last 200 count."""
 
-PRIOR = (1.0, 0.6, 8.0)
-"""Weights of the belief that the estimate is right, for offset, estimate and deadline.
+PRIOR_WEIGHTS = (1.0, 0.6, 8.0)
+"""Prior weights of the estimate as given: offset, estimate and deadline."""
 
-On the log of a day weaker ones (0.2, 0.6, 2) erred by 0.22 to 0.27 of the length in a queue's first
-sixty ends, stronger ones (10, 3, 100) by 0.30 to 0.35. Over the whole day these erred as little as
-the weaker ones (medians 0.13 to 0.21); their first sixty ends were not looked at apart.
-"""
-
-FARTHEST = 4.0
-"""By which factor a learned length may differ from its estimate at most."""
+MAX_RATIO = 4.0
+"""Largest factor between a predicted length and its estimate."""
 
-OLD_RATIO = 0.35
-"""Learned length, in estimates, below which a job is taken for one that was sent again.
-
-Callers' estimates were seen to lie within 0.4 and 1.9 of the length.
-"""
+RESENT_RATIO = 0.35
+"""Ratio of predicted length and estimate below which a job is taken for a resent one."""
 
-MOST_QUEUES = 1000
-"""Queues that are remembered; one takes about 1 KB, and the largest configuration seen had 360."""
+MAX_QUEUES = 1000
+"""Queues kept; the least recently used is dropped first."""
 
-LEAST_DEADLINE_SLOPE = 0.02
-"""Seconds of length for a second of deadline, below which a deadline tells no age."""
+MIN_DEADLINE_SLOPE = 0.02
+"""Seconds of length per second of deadline below which a deadline shows no age."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class JobPrediction:
-    """What a job is expected to be: `length` of a task and `age` since its first try, seconds."""
+    """A job's predicted `length` of a task and `age` since its first submission, in seconds."""
 
     length: float
     age: float = 0.0
@@ -49,68 +41,68 @@
 
 @final
 class TaskLengthModel:
-    """Least squares over the ends of one queue, each weighted by its estimate's inverse square."""
+    """Least squares over one queue's completions, each weighted by its inverse squared estimate."""
 
     def __init__(self) -> None:
         self._squares = [[0.0] * 3 for _ in range(3)]
         self._products = [0.0] * 3
-        self._line = (0.0, 1.0, 0.0)
+        self._coefficients = (0.0, 1.0, 0.0)
         self._stale = False
 
     def observe(self, estimate: float, deadline: float, took: float) -> None:
-        """Note that a task of a job with these figures took `took` seconds."""
-        ratio = min(FARTHEST, max(1 / FARTHEST, took / estimate))
-        row = _row(estimate, deadline)
+        """Add a task that took `took` seconds, of a job with this estimate and deadline."""
+        ratio = min(MAX_RATIO, max(1 / MAX_RATIO, took / estimate))
+        row = _regressors(estimate, deadline)
         for i in range(3):
             for j in range(3):
-                self._squares[i][j] = MEMORY * self._squares[i][j] + row[i] * row[j]
-            self._products[i] = MEMORY * self._products[i] + row[i] * ratio
+                self._squares[i][j] = DECAY * self._squares[i][j] + row[i] * row[j]
+            self._products[i] = DECAY * self._products[i] + row[i] * ratio
         self._stale = True
 
     def predict(self, estimate: float, deadline: float) -> JobPrediction:
-        """Return the length and age of a job with these figures."""
-        offset, slope, patience = self._fitted()
-        length = offset + slope * estimate + patience * deadline
-        if length < OLD_RATIO * estimate and patience > LEAST_DEADLINE_SLOPE:
-            usual = (estimate - offset - slope * estimate) / patience
+        """Return the predicted length and age of a job with this estimate and deadline."""
+        offset, slope, deadline_slope = self._fitted()
+        length = offset + slope * estimate + deadline_slope * deadline
+        if length < RESENT_RATIO * estimate and deadline_slope > MIN_DEADLINE_SLOPE:
+            usual = (estimate - offset - slope * estimate) / deadline_slope
             return JobPrediction(estimate, max(0.0, usual - deadline))
-        least, most = estimate / FARTHEST, estimate * FARTHEST
+        least, most = estimate / MAX_RATIO, estimate * MAX_RATIO
         return JobPrediction(min(most, max(least, length)))
 
     def _fitted(self) -> tuple[float, float, float]:
         if self._stale:
             self._stale = False
             matrix = [list(row) for row in self._squares]
-            for i, weight in enumerate(PRIOR):
+            for i, weight in enumerate(PRIOR_WEIGHTS):
                 matrix[i][i] += weight
             products = list(self._products)
-            products[1] += PRIOR[1]
-            self._line = _solved(matrix, products)
-        return self._line
+            products[1] += PRIOR_WEIGHTS[1]
+            self._coefficients = _solve(matrix, products)
+        return self._coefficients
 
 
 @final
 class TaskLengthModels:
-    """The lengths of all queues, by name; what was not asked for longest is forgotten first."""
+    """Length models of all queues, by name; the least recently used is dropped first."""
 
     def __init__(self) -> None:
         self._queues: dict[str, TaskLengthModel] = {}
 
     def of(self, queue: str) -> TaskLengthModel:
-        """Return what is known of a queue."""
+        """Return a queue's model; a new one if there is none."""
         lengths = self._queues.pop(queue, None) or TaskLengthModel()
         self._queues[queue] = lengths
-        if len(self._queues) > MOST_QUEUES:
+        if len(self._queues) > MAX_QUEUES:
             del self._queues[next(iter(self._queues))]
         return lengths
 
 
-def _row(estimate: float, deadline: float) -> tuple[float, float, float]:
-    """Return what the ratio of length and estimate is a line over."""
+def _regressors(estimate: float, deadline: float) -> tuple[float, float, float]:
+    """Return the regressors of the ratio of length and estimate."""
     return 1 / estimate, 1.0, deadline / estimate
 
 
-def _solved(matrix: list[list[float]], right: list[float]) -> tuple[float, float, float]:
+def _solve(matrix: list[list[float]], right: list[float]) -> tuple[float, float, float]:
     """Solve three linear equations by elimination; the prior keeps the matrix regular."""
     for i in range(3):
         pivot = matrix[i][i]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.events import note
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, LeaseTimes
 from paddleshunt_core.leased.entrylink import EntryLink
-from paddleshunt_core.leased.evacuation import evacuation_note
+from paddleshunt_core.leased.evacuation import evacuation_log
 from paddleshunt_core.leased.incarnations import HeartbeatClass
 from paddleshunt_core.leased.losses import LossHistory
 from paddleshunt_core.leased.offers import Offers
@@ -385,7 +385,7 @@
             return []
         if not evacuations.learn(news.evacuated):
             return []
-        return [evacuation_note(evacuations, entry)]
+        return [evacuation_log(evacuations, entry)]
 
     def _assign(self, now: float, entry: str, body: Assign) -> None:
         """Keep runs until all of the frame is known, and the session's lease is in force."""
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -1,4 +1,4 @@
-"""Runners that are slow for a while after their start."""
+"""Cold runners, which are slow for a while after their start."""
 
 from random import Random
 
@@ -53,7 +53,7 @@
 WARM, FULL, COLD, COLD_FULL = "warm", "full", "cold", "cold-full"
 
 
-def record_of(name: str) -> TargetRecord:
+def target_named(name: str) -> TargetRecord:
     record = target(name, 5000 if name.startswith("cold") else 0)
     if name.endswith("full"):
         record.reserve(ROOM)
@@ -72,47 +72,48 @@
     ],
     ids=["warm-first", "in-time-there", "waits-for-warm", "late-anyhow", "all-cold", "no-room"],
 )
-def test_a_task_goes_to_a_cold_runner_if_its_slack_bears_it(
+def test_a_task_uses_a_cold_runner_if_its_slack_allows(
     after: float, names: list[str], expected: str
 ) -> None:
-    asked = job()
+    job_record = job()
     placement = Placement("hall", Random(1), 1.5, cold_overrun=1.5)
-    eligible = placement.eligible(asked, [record_of(name) for name in names])
-    found = placement.choose(10.0 + after, asked, asked.tasks[0], eligible) if eligible else None
+    eligible = placement.eligible(job_record, [target_named(name) for name in names])
+    found = (
+        placement.choose(10.0 + after, job_record, job_record.tasks[0], eligible)
+        if eligible
+        else None
+    )
     assert (found.name if found else "") == expected
 
 
-def test_a_warm_runner_that_is_nearly_full_goes_before_an_empty_cold_one() -> None:
+def test_a_nearly_full_warm_runner_is_preferred_to_an_empty_cold_one() -> None:
     warm = target("warm")
     warm.reserve(ROOM - NEED)
-    asked = job()
+    job_record = job()
     placement = Placement("hall", Random(1), 1.5, cold_overrun=1.5)
-    found = placement.choose(10.0, asked, asked.tasks[0], [target("cold", 5000), warm])
+    found = placement.choose(10.0, job_record, job_record.tasks[0], [target("cold", 5000), warm])
     assert found is warm
 
 
-def test_the_time_a_runner_stays_cold_runs_down_at_the_entry() -> None:
+def test_the_entry_counts_down_the_cold_time() -> None:
     record = target("t", 2000)
     assert record.is_cold(11.9)
     assert not record.is_cold(12.1)
 
 
-def test_a_runner_that_says_it_is_warm_was_cold_before() -> None:
+def test_a_runner_reported_warm_was_cold_before() -> None:
     record = target("t", 5000)
     record.take_report(11.0, report())
     assert record.is_cold(10.9)
     assert not record.is_cold(11.1)
 
 
-# The target.
-
-
 def status(cold: float, runner: str = "i-1") -> RunnerStatus:
     return RunnerStatus(RunnerIncarnation(runner), "svc", "a", ROOM, False, None, cold=cold)
 
 
 def worker(cold: float, overrun: float = 1.5) -> Worker:
-    """Return a worker whose runner was cold for `cold` s yet at 0.9, in session with `e`."""
+    """Return a worker in session with `e`, whose runner at 0.9 stays cold for `cold` seconds."""
     made = Worker(lease_times(Bounds()), "a", overrun)
     made.heartbeat_received(0.9, status(cold))
     made.poll_answered(0.95, PollAnswer(0.92, [], []))
@@ -120,8 +121,8 @@
     return made
 
 
-def told(made: Worker, now: float) -> list[int]:
-    """Return the `cold_ms` of the reports that are due at `now`."""
+def reported_cold_ms(made: Worker, now: float) -> list[int]:
+    """Return the `cold_ms` of the reports due at `now`."""
     made.prepare_frames(now)
     session = made.session("e")
     assert session is not None
@@ -129,43 +130,41 @@
     return [body.cold_ms for body in bodies if isinstance(body, RunnerReport)]
 
 
-def test_a_cold_runner_is_told_of_once_and_again_once_it_is_warm() -> None:
+def test_a_cold_runner_is_reported_once_and_again_when_warm() -> None:
     made = worker(2.0)
-    assert told(made, 1.0) == [1900]
-    assert [told(made, 1.0 + n * 0.13) for n in range(1, 14)] == [[]] * 13
-    assert told(made, 2.95) == [0]
-    assert told(made, 3.2) == []
+    assert reported_cold_ms(made, 1.0) == [1900]
+    assert [reported_cold_ms(made, 1.0 + n * 0.13) for n in range(1, 14)] == [[]] * 13
+    assert reported_cold_ms(made, 2.95) == [0]
+    assert reported_cold_ms(made, 3.2) == []
 
 
 @pytest.mark.parametrize(
     ("cold", "expected"), [(1.6, []), (4.0, [4000]), (0.0, [0])], ids=["late", "longer", "warm"]
 )
-def test_a_heartbeat_changes_what_is_told_only_if_it_says_something_else(
+def test_a_heartbeat_is_reported_only_if_the_cold_time_changes(
     cold: float, expected: list[int]
 ) -> None:
     made = worker(2.0)
-    told(made, 1.0)
+    reported_cold_ms(made, 1.0)
     made.heartbeat_received(1.4, status(cold))
-    assert told(made, 1.4) == expected
+    assert reported_cold_ms(made, 1.4) == expected
 
 
 @pytest.mark.parametrize(("cold", "expected"), [(3.0, [3000]), (0.0, [0])], ids=["cold", "warm"])
-def test_a_runner_that_was_started_anew_says_itself_how_cold_it_is(
-    cold: float, expected: list[int]
-) -> None:
+def test_a_restarted_runner_reports_its_own_cold_time(cold: float, expected: list[int]) -> None:
     made = worker(2.0)
-    told(made, 1.0)
+    reported_cold_ms(made, 1.0)
     made.heartbeat_received(1.4, status(cold, "i-2"))
     made.poll_answered(1.45, PollAnswer(1.42, [], []))
-    assert told(made, 1.5)[-1:] == [max(0, cold_ms - 100) for cold_ms in expected]
+    assert reported_cold_ms(made, 1.5)[-1:] == [max(0, cold_ms - 100) for cold_ms in expected]
 
 
-def test_a_hall_taken_back_while_the_store_is_away_has_cold_runners_until_they_are_warm() -> None:
+def test_after_an_evacuation_ends_without_the_store_cold_times_are_kept() -> None:
     made = worker(0.0)
-    told(made, 1.0)
+    reported_cold_ms(made, 1.0)
     frame = Frame(1, 0, 1000, 1000, [EvacuationUpdate(EvacuatedHalls(20, ("a",)))])
     made.frame_received(1.0, "e", frame)
-    # Heartbeats go on without the store; so does what another entry says of the hall.
+    # Runner heartbeats go on without the store.
     made.heartbeat_received(1.2, status(1.5))
     back = Frame(2, 0, 1100, 1300, [EvacuationUpdate(EvacuatedHalls(21, ()))])
     made.frame_received(1.3, "e", back)
@@ -176,13 +175,10 @@
     assert [(r.state, r.cold_ms) for r in reports] == [(RunnerState.READY, 1400)]
 
 
-# Health.
-
-
 @pytest.mark.parametrize(
     ("cold", "level"), [(2.0, Health.GOOD), (0.0, Health.SICK)], ids=["cold", "warm"]
 )
-def test_slow_ends_of_a_cold_runner_are_no_sickness(cold: float, level: Health) -> None:
+def test_slow_completions_do_not_make_a_cold_runner_sick(cold: float, level: Health) -> None:
     health = RunnerHealth(4.0)
     health.mark_sick(0.0)
     later = SICK_SECONDS + 0.1
@@ -192,14 +188,14 @@
 
 
 @pytest.mark.parametrize(("cold", "slow"), [(2.0, False), (0.0, True)], ids=["cold", "warm"])
-def test_slow_progress_of_a_cold_runner_is_no_sickness(cold: float, *, slow: bool) -> None:
+def test_slow_progress_does_not_make_a_cold_runner_sick(cold: float, *, slow: bool) -> None:
     health = RunnerHealth(4.0)
     health.set_cold_remaining(1.0, cold)
     health.progressed(1.5, 0.1, 0.5)
     assert health.is_slow(1.6) is slow
 
 
-def test_a_runner_that_is_slow_long_after_it_got_warm_is_sick() -> None:
+def test_a_runner_that_stays_slow_when_warm_is_sick() -> None:
     health = RunnerHealth(4.0)
     health.set_cold_remaining(1.0, 2.0)
     health.progressed(4.0, 0.1, 0.5)
@@ -207,7 +203,7 @@
 
 
 @pytest.mark.parametrize(("cold", "stopped"), [(3.0, False), (0.0, True)], ids=["cold", "warm"])
-def test_a_cold_runners_runs_may_stand_still_for_longer(cold: float, *, stopped: bool) -> None:
+def test_runs_of_a_cold_runner_may_stall_for_longer(cold: float, *, stopped: bool) -> None:
     made = worker(cold, overrun=3.0)
     assign = Assign("job", 0, "spec", NEED, 400, 4000, [(0, 1), (1, 1)])
     made.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
@@ -221,10 +217,7 @@
     assert any(isinstance(effect, StopRun) for effect in effects) is stopped
 
 
-# Entries and targets together.
-
-
-def test_all_runners_cold_are_used() -> None:
+def test_cold_runners_are_used_if_all_are_cold() -> None:
     fleet = Fleet()
     for runner in fleet.runners.values():
         runner.cold_until = 20.0
@@ -235,7 +228,7 @@
     assert fleet.answered_at[caller] < 0.6 + COLD_OVERRUN * 0.4 + 0.2
 
 
-def test_warm_runners_get_the_work_while_they_have_room() -> None:
+def test_warm_runners_are_preferred_while_they_have_room() -> None:
     fleet = Fleet()
     fleet.runners["t0"].cold_until = 20.0
     fleet.settle()
@@ -246,8 +239,8 @@
     assert len(fleet.answers) == 5
 
 
-def test_ends_on_cold_runners_teach_no_lengths() -> None:
-    """What was learned there would make entries refuse jobs that warm runners end in time."""
+def test_completions_on_cold_runners_do_not_affect_length_models() -> None:
+    """Otherwise entries would refuse jobs that warm runners complete in time."""
     fleet = Fleet(entries=1, targets=1)
     fleet.runners["t0"].cold_until = 20.0
     fleet.settle()
