--- a/testing/core/leased/test_kinds.py
+++ b/testing/core/leased/test_kinds.py
@@ -35,7 +35,7 @@
     for number in range(round(seconds / 0.1)):
         length = rng.uniform(0.1, 0.3)
         entry = entries[number % len(entries)]
-        key = f"{prefix}{number}"
+        key = f"{key_prefix}{number}"
         caller = fleet.submit(
             entry, key, count=4, length=length, estimate=length * rng.uniform(0.7, 1.5)
         )
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -268,7 +268,7 @@
 
 
 @pytest.mark.parametrize(
-    "word",
+    "message",
     [
         KindSpeed("svc", "a", 0, 100),
         KindSpeed("svc", "a", -700, 100),
