--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -169,7 +169,7 @@
     ours.reset()
     ours.take_report(1.0, report("a"))
     assert ours.deviation == 2.0
-    ours.faded(300.0)
+    ours.decay_deviation(300.0)
     assert ours.deviation == pytest.approx(1.0)
 
 
