--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalog.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalog.py
@@ -1,4 +1,4 @@
-"""The configuration in force: queues, the services that run them, and limits on requests."""
+"""The configuration in force: queues, the services that run their tasks, and request limits."""
 
 from typing import final
 
@@ -7,10 +7,10 @@
 
 @final
 class Queue(msgspec.Struct, frozen=True, array_like=True):
-    """A queue of jobs: which requests it takes, and who runs its tasks.
+    """A queue of jobs: the requests it accepts, and the service that runs its tasks.
 
-    The objective of a job is `stretch` times its longest chain of work plus `latency` seconds.
-    Priority 0 goes first.
+    A job's target latency is `stretch` times its longest chain of work plus `latency`, in seconds.
+    Lower `priority` numbers go first.
     """
 
     name: str
@@ -25,7 +25,7 @@
 
 @final
 class Service(msgspec.Struct, frozen=True, array_like=True):
-    """A pool of runners; `guarded` if they reject what doesn't fit."""
+    """A pool of runners; `guarded` if they reject tasks that don't fit."""
 
     name: str
     guarded: bool = True
@@ -33,7 +33,7 @@
 
 @final
 class RequestLimits(msgspec.Struct, frozen=True, array_like=True):
-    """Bounds on callers' requests: bytes, and seconds."""
+    """Limits on callers' requests, in bytes and seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 262144
@@ -43,7 +43,7 @@
 
 @final
 class Catalog(msgspec.Struct, frozen=True, array_like=True):
-    """One version of the configuration, whole. Versions only rise."""
+    """One complete version of the configuration. Version numbers only increase."""
 
     version: int
     queues: list[Queue]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -1,10 +1,10 @@
-"""How a configuration gets from entry to entry: who asks whom for it, and who is served when.
+"""Distribution of the configuration between entries.
 
-The store tells each entry of a new configuration. Entries tell one another only the versions that
-are in force there; one that is still behind after a moment asks one other entry for the whole. An
-entry hands out one copy after the other, at no more than a share of its own link, so that the
-bytes at each link grow with the configuration and not with the number of entries. Who has got a
-copy hands it on, so that many are served soon even if the store told only one.
+The store notifies each entry of a new configuration. Entries send each other only the version that
+is in force; one that is still behind after a short delay requests the whole from one other entry.
+An entry sends one copy after another, at a limited share of its own link, so the bytes on each link
+grow with the configuration and not with the number of entries. Each receiver can send copies in
+turn, so that many are served soon even if the store notified only one.
 """
 
 from collections import deque
@@ -12,32 +12,33 @@
 from random import Random
 from typing import final
 
-ASK_SECONDS = (0.1, 0.2)
-"""Least and longest time for which an entry that is behind waits for the store's word.
+REQUEST_DELAY_SECONDS = (0.1, 0.2)
+"""Range of the delay before an entry that is behind requests a copy, in seconds.
 
-The store answers a watch in milliseconds; entries that it turns away don't all ask at once.
+The store usually delivers sooner; the random delay spreads the requests of entries that it doesn't
+serve.
 """
 
-ANSWER_SECONDS = 0.4
-"""Seconds after which another entry is asked, at first; with each question twice as long."""
+ANSWER_TIMEOUT_SECONDS = 0.4
+"""Seconds after which another entry is asked, at first; doubled with each request."""
 
-MAX_ANSWER_SECONDS = 3.2
-"""The longest such time."""
+MAX_ANSWER_TIMEOUT_SECONDS = 3.2
+"""Upper limit of that time, in seconds."""
 
 LINK_MBPS = 25.0
-"""Megabits a second of an entry's own link, if its settings don't say."""
+"""Default bandwidth of an entry's own link, in megabits per second."""
 
 LINK_SHARE = 0.25
-"""Share of an entry's link that copies may take: sessions and answers go on beside them."""
+"""Share of an entry's link that copies may use, besides sessions and answers."""
 
-BYTES_A_MEGABIT = 125_000
-"""Bytes a second of a link that carries a megabit a second."""
+BYTES_PER_MEGABIT = 125_000
+"""Bytes per second of a link with a bandwidth of one megabit per second."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class RequestCatalog:
-    """Ask this peer for its configuration."""
+    """Request to be sent to this peer for its configuration."""
 
     peer: str
 
@@ -45,95 +46,98 @@
 @final
 @dataclass(frozen=True, slots=True)
 class SendCatalog:
-    """Send this peer the whole configuration in force."""
+    """Order to send this peer the whole configuration in force."""
 
     peer: str
 
 
 @final
 class CatalogSync:
-    """One entry's part. Times are steady seconds; `link_mbps` is what its own link carries."""
+    """The state machine of one entry. Times are in monotonic seconds.
+
+    `link_mbps` is the bandwidth of its own link.
+    """
 
     def __init__(self, rng: Random, link_mbps: float = LINK_MBPS) -> None:
         self._rng = rng
-        self._rate = link_mbps * BYTES_A_MEGABIT * LINK_SHARE
+        self._rate = link_mbps * BYTES_PER_MEGABIT * LINK_SHARE
         self._version = 0
         self._versions: dict[str, int] = {}
-        """By peer, the version that it said is in force there."""
-        self._ask_at: float | None = None
-        self._asked: set[str] = set()
-        """Peers that were asked since the last configuration was adopted."""
-        self._patience = ANSWER_SECONDS
-        self._waiting: deque[str] = deque()
-        """Peers that have asked, the first first."""
-        self._free_at = 0.0
-        """When the copies that were sent have passed the link's share."""
+        """By peer, the version that it last reported."""
+        self._request_at: float | None = None
+        self._asked_peers: set[str] = set()
+        """Peers asked since the last configuration was adopted."""
+        self._answer_timeout = ANSWER_TIMEOUT_SECONDS
+        self._requests: deque[str] = deque()
+        """Peers that have requested a copy, in order of arrival."""
+        self._idle_at = 0.0
+        """When the copies sent so far have used up the link's share."""
 
     def set_version(self, version: int) -> None:
-        """Note that a version is in force here."""
+        """Record that a version is in force here."""
         self._version = version
-        self._asked.clear()
-        self._patience = ANSWER_SECONDS
+        self._asked_peers.clear()
+        self._answer_timeout = ANSWER_TIMEOUT_SECONDS
         if not self._newer():
-            self._ask_at = None
+            self._request_at = None
 
     def on_version(self, now: float, peer: str, version: int) -> None:
-        """Take a peer's word on the version in force there."""
+        """Record the version in force at a peer."""
         self._versions[peer] = version
-        if version >= self._version and peer in self._waiting:
-            self._waiting.remove(peer)
-        if version > self._version and self._ask_at is None:
-            self._ask_at = now + self._rng.uniform(*ASK_SECONDS)
+        if version >= self._version and peer in self._requests:
+            self._requests.remove(peer)
+        if version > self._version and self._request_at is None:
+            self._request_at = now + self._rng.uniform(*REQUEST_DELAY_SECONDS)
 
     def on_request(self, peer: str, version: int) -> None:
-        """Take the question of a peer that has an older version for the one in force here."""
+        """Queue the request of a peer that has an older version than this entry."""
         self._versions[peer] = version
-        if version < self._version and peer not in self._waiting:
-            self._waiting.append(peer)
+        if version < self._version and peer not in self._requests:
+            self._requests.append(peer)
 
-    def handed_out(self, now: float, size: int) -> None:
-        """Note that a copy of `size` bytes was sent."""
-        self._free_at = now + size / self._rate
+    def copy_sent(self, now: float, size: int) -> None:
+        """Record that a copy of `size` bytes was sent."""
+        self._idle_at = now + size / self._rate
 
     def peer_left(self, peer: str) -> None:
-        """Forget a peer whose connection has ended."""
+        """Drop a peer whose connection has closed."""
         self._versions.pop(peer, None)
-        if peer in self._waiting:
-            self._waiting.remove(peer)
+        if peer in self._requests:
+            self._requests.remove(peer)
 
     def due(self) -> float | None:
-        """Return when `act` is due next; None if nothing is to be done."""
-        times = [] if self._ask_at is None else [self._ask_at]
-        if self._waiting:
-            times.append(self._free_at)
+        """Return when to call `act` next; None if there is nothing to do."""
+        times = [] if self._request_at is None else [self._request_at]
+        if self._requests:
+            times.append(self._idle_at)
         return min(times, default=None)
 
     def act(self, now: float, *, may_send: bool = True) -> list[RequestCatalog | SendCatalog]:
-        """Return what is to be sent now; `handed_out` follows for a copy.
+        """Return what to send now; the caller reports each sent copy with `copy_sent`.
 
-        `may_send`: copies may be sent; they wait while the own link is pressed.
+        Copies are withheld unless `may_send`, as on a link under pressure.
         """
-        steps = self._ask(now)
-        if may_send and self._waiting and now >= self._free_at:
-            steps.append(SendCatalog(self._waiting.popleft()))
+        steps = self._request(now)
+        if may_send and self._requests and now >= self._idle_at:
+            steps.append(SendCatalog(self._requests.popleft()))
         return steps
 
-    def _ask(self, now: float) -> list[RequestCatalog | SendCatalog]:
-        if self._ask_at is None or now < self._ask_at:
+    def _request(self, now: float) -> list[RequestCatalog | SendCatalog]:
+        if self._request_at is None or now < self._request_at:
             return []
         newer = self._newer()
         if not newer:
-            self._ask_at = None
+            self._request_at = None
             return []
-        fresh = [peer for peer in newer if peer not in self._asked]
-        if not fresh:
-            self._asked.clear()
-        peer = self._rng.choice(fresh or newer)
-        self._asked.add(peer)
-        self._ask_at = now + self._patience
-        self._patience = min(MAX_ANSWER_SECONDS, 2 * self._patience)
+        unasked = [peer for peer in newer if peer not in self._asked_peers]
+        if not unasked:
+            self._asked_peers.clear()
+        peer = self._rng.choice(unasked or newer)
+        self._asked_peers.add(peer)
+        self._request_at = now + self._answer_timeout
+        self._answer_timeout = min(MAX_ANSWER_TIMEOUT_SECONDS, 2 * self._answer_timeout)
         return [RequestCatalog(peer)]
 
     def _newer(self) -> list[str]:
-        """Return the peers that have a newer version than this entry."""
+        """Return the peers with a newer version than this entry's."""
         return sorted(p for p, version in self._versions.items() if version > self._version)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -295,7 +295,7 @@
             self._packed = pack(catalog)
         size = len(self._packed.content)
         self._askers.pop(peer).send(_loose(self._packed))
-        self._spread.handed_out(clock.now(), size)
+        self._spread.copy_sent(clock.now(), size)
         self._owner.handed_out_catalog(peer, size)
 
     # Connections that this entry has made.
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Which data halls are evacuated, and that their targets start nothing."""
+"""Evacuated data halls: which set is adopted, and that their targets start nothing."""
 
 from typing import cast
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "expected"),
+    ("updates", "expected"),
     [
         ([HALL_A], ("a",)),
         ([HALL_A, EvacuatedHalls(19, ())], ("a",)),
@@ -41,16 +41,16 @@
     ],
     ids=["set", "late_absence", "taken_back", "late_word", "set_again"],
 )
-def test_the_word_of_the_latest_revision_holds(
-    told: list[EvacuatedHalls], expected: tuple[str, ...]
+def test_the_set_of_the_latest_revision_counts(
+    updates: list[EvacuatedHalls], expected: tuple[str, ...]
 ) -> None:
     evacuations = Evacuations()
-    for word in told:
-        evacuations.learn(word)
+    for update in updates:
+        evacuations.learn(update)
     assert evacuations.known.halls == expected
 
 
-def test_only_a_teller_that_takes_other_halls_for_evacuated_is_outdated() -> None:
+def test_only_a_sender_with_an_older_and_different_set_needs_an_update() -> None:
     evacuations = Evacuations()
     evacuations.learn(HALL_A)
     assert evacuations.supersedes(EvacuatedHalls(10, ()))
@@ -71,14 +71,14 @@
 
 
 def sent(worker: Worker, now: float) -> list[object]:
-    """Return what is due for the entry `e`."""
+    """Return the message bodies due for the entry `e`."""
     worker.prepare_frames(now)
     session = worker.session("e")
     assert session is not None
     return cast("list[object]", session.frame(int(now * 1000)).bodies)
 
 
-def test_an_assignment_to_an_evacuated_hall_is_given_back() -> None:
+def test_an_assignment_to_an_evacuated_hall_is_returned() -> None:
     worker = worker_in("a")
     effects = worker.frame_received(
         1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationUpdate(HALL_A), ASSIGN])
@@ -90,7 +90,7 @@
     assert states == [RunnerState.EVACUATED]
 
 
-def test_an_order_that_waits_to_be_sent_is_withdrawn_by_an_evacuation() -> None:
+def test_an_evacuation_withdraws_an_unsent_start_order() -> None:
     worker = worker_in("a")
     worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     assert worker.may_send(1.0, RUN, "e")
@@ -100,7 +100,7 @@
     assert Ended([(RUN, End.NOT_STARTED)]) in sent(worker, 1.01)
 
 
-def test_what_runs_in_an_evacuated_hall_goes_on() -> None:
+def test_running_tasks_of_an_evacuated_hall_continue() -> None:
     worker = worker_in("a")
     worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     worker.start_answered(1.001, RUN, StartAnswer.STARTED)
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("same_frame", [True, False], ids=["one_frame", "two_frames"])
-def test_an_order_is_not_sent_once_its_stop_is_known(*, same_frame: bool) -> None:
+def test_a_start_order_is_not_sent_after_its_stop(*, same_frame: bool) -> None:
     worker = worker_in("a")
     if same_frame:
         effects = worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN, Stop([RUN])]))
@@ -124,14 +124,14 @@
     assert worker.idle
 
 
-def test_an_order_is_not_sent_once_its_entrys_session_is_over() -> None:
+def test_a_start_order_is_not_sent_after_the_session_has_expired() -> None:
     times = lease_times(Bounds())
     worker = worker_in("a")
     worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     assert not worker.may_send(1.0 + times.session + 0.01, RUN, "e")
 
 
-def test_a_target_puts_an_entry_right_that_knows_less() -> None:
+def test_a_target_updates_an_outdated_entry() -> None:
     worker = worker_in("a")
     worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationUpdate(HALL_A)]))
     worker.frame_received(
@@ -140,68 +140,68 @@
     assert EvacuationUpdate(HALL_A) in sent(worker, 1.11)
 
 
-# With entries, in a fleet whose targets are all in the hall `hall`.
+# The targets of a test fleet are all in the hall `hall`.
 
 HALL = EvacuatedHalls(20, ("hall",))
 
 
-def tell(fleet: Fleet, entry: str, word: EvacuatedHalls) -> None:
-    fleet.dispatchers[entry].handle_evacuations(fleet.now, word, "store")
+def set_evacuated(fleet: Fleet, entry: str, update: EvacuatedHalls) -> None:
+    fleet.dispatchers[entry].handle_evacuations(fleet.now, update, "store")
 
 
 def starts(fleet: Fleet) -> int:
     return sum(sum(runner.starts.values()) for runner in fleet.runners.values())
 
 
-def test_nothing_starts_in_an_evacuated_hall_and_all_ends_in_peace() -> None:
+def test_nothing_starts_in_an_evacuated_hall_and_running_jobs_complete() -> None:
     fleet = Fleet()
     fleet.settle()
-    before = fleet.submit("e0", "before", length=0.5)
+    early_job = fleet.submit("e0", "before", length=0.5)
     fleet.run(0.05)
-    begun = starts(fleet)
-    tell(fleet, "e0", HALL)
-    # The other entry has not heard of it; the targets have.
+    started_before = starts(fleet)
+    set_evacuated(fleet, "e0", HALL)
+    # Only the targets know of the evacuation, not the other entry.
     fleet.run(0.01)
     fleet.submit("e1", "after", length=0.2)
     fleet.run(0.7)
-    assert fleet.answers[before] == Completed()
-    assert starts(fleet) == begun
+    assert fleet.answers[early_job] == Completed()
+    assert starts(fleet) == started_before
 
 
-def test_work_returns_when_the_evacuation_is_taken_back() -> None:
+def test_tasks_start_again_after_an_evacuation_ends() -> None:
     fleet = Fleet()
     fleet.settle()
-    tell(fleet, "e0", HALL)
+    set_evacuated(fleet, "e0", HALL)
     fleet.run(0.2)
-    tell(fleet, "e0", EvacuatedHalls(30, ()))
+    set_evacuated(fleet, "e0", EvacuatedHalls(30, ()))
     fleet.run(0.2)
     callers = [fleet.submit(entry, f"job-{entry}") for entry in ("e0", "e1")]
     fleet.run(1.0)
     assert [fleet.answers.get(caller) for caller in callers] == [Completed()] * 2
 
 
-def test_an_entry_without_the_word_learns_it_from_a_target() -> None:
+def test_an_outdated_entry_is_updated_by_a_target() -> None:
     fleet = Fleet()
     fleet.settle()
-    tell(fleet, "e0", HALL)
+    set_evacuated(fleet, "e0", HALL)
     fleet.run(0.2)
     fleet.kill("e1")
     fleet.start("e1")
-    tell(fleet, "e1", EvacuatedHalls(10, ()))
+    set_evacuated(fleet, "e1", EvacuatedHalls(10, ()))
     fleet.settle()
     assert fleet.dispatchers["e1"].evacuations.covers("hall")
 
 
-def test_a_target_that_stood_still_across_the_end_of_an_evacuation_hears_of_it() -> None:
+def test_a_target_paused_during_the_end_of_an_evacuation_is_updated() -> None:
     fleet = Fleet(entries=2, targets=1)
     fleet.settle()
-    tell(fleet, "e0", HALL)
+    set_evacuated(fleet, "e0", HALL)
     fleet.run(0.2)
     fleet.freeze("t0")
-    tell(fleet, "e0", EvacuatedHalls(30, ()))
+    set_evacuated(fleet, "e0", EvacuatedHalls(30, ()))
     fleet.kill("e0")
-    # This one never heard of the evacuation, only, later, that there is none.
-    tell(fleet, "e1", EvacuatedHalls(31, ()))
+    # This entry learns only later, that no hall is evacuated.
+    set_evacuated(fleet, "e1", EvacuatedHalls(31, ()))
     fleet.run(1.5)
     fleet.thaw("t0")
     fleet.run(1.0)
@@ -210,12 +210,12 @@
     assert fleet.answers.get(caller) == Completed()
 
 
-def test_a_target_that_stands_still_as_its_hall_is_evacuated_starts_nothing_after() -> None:
+def test_a_target_paused_while_its_hall_is_evacuated_starts_nothing() -> None:
     fleet = Fleet(entries=1, targets=1)
     fleet.settle()
     fleet.freeze("t0")
     fleet.submit("e0", "job", count=4)
-    tell(fleet, "e0", HALL)
+    set_evacuated(fleet, "e0", HALL)
     fleet.run(0.3)
     fleet.thaw("t0")
     fleet.run(1.0)
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
-from paddleshunt_core.leased.catalogsync import ASK_SECONDS
+from paddleshunt_core.leased.catalogsync import REQUEST_DELAY_SECONDS
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
@@ -280,7 +280,7 @@
             link.peer = f"e{number}"
             version = CatalogVersion(number)
             peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
-        await asyncio.sleep(ASK_SECONDS[1] + 4 * entrypeers.SPREAD_PAUSE)
+        await asyncio.sleep(REQUEST_DELAY_SECONDS[1] + 4 * entrypeers.SPREAD_PAUSE)
         asked = [link.peer for link in links if link.frames]
         assert len(asked) == 1
         assert asked != ["e0"]
