--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -1,72 +1,71 @@
-"""Bounds that a deployment sets, and the lengths of the nested leases that follow from them."""
+"""Time bounds set by a deployment, and the durations of the nested leases derived from them."""
 
 from dataclasses import dataclass
 from typing import final
 
 CLOCK_DRIFT = 0.02
-"""Share by which a runner's steady clock may be slow."""
+"""Largest relative error of a runner's monotonic clock."""
 
 LEASE_MARGIN = 0.1
-"""Seconds left between the end of the last lease and the moment a caller sends again."""
+"""Seconds between the end of the last lease and the caller's retry."""
 
 SESSION_SHARE = 0.4
-"""Part of the time before a caller's retry that the session's lease takes."""
+"""Share of the time before a caller's retry that the session lease takes."""
 
-HEARTBEATS_A_SESSION = 3.5
-"""Heartbeats of a target that fit into a session's lease; the entry answers each at once."""
+HEARTBEATS_PER_SESSION = 3.5
+"""Heartbeats of a target per session lease; the entry answers each at once."""
 
-REDIAL_SHARE = 0.55
-"""Part of a session's length without a word after which its connection is made anew.
+RECONNECT_SHARE = 0.55
+"""Share of the session lease without a message after which the connection is reopened.
 
-Two heartbeats of the target have then got no answer, and enough of the session is left to go on.
+By then two heartbeats of the target are unanswered, and enough of the lease is left to continue.
 """
 
 HALL_PREFERENCE = 0.2
-"""Share of a runner's room that it is given to save the bytes of a way between halls."""
+"""Weight of a transfer between halls in placement, as a share of a runner's capacity."""
 
 COLD_OVERRUN = 1.5
-"""How many times as long a task takes on a runner that is cold after its start, if not told."""
+"""Default ratio of a task's run times on a cold and a warm runner."""
 
-IDLE_BEAT = 1.0
-"""Seconds between two heartbeats of a target in an idle session, at least.
+MIN_IDLE_HEARTBEAT = 1.0
+"""Minimum seconds between two heartbeats of a target in an idle session.
 
-So long may a target that has died unseen stay on an entry's list; the first assignment to it
-finds that out in some 30 ms.
+A target that died unnoticed may stay in an entry's list that long; the first assignment to it
+reveals it.
 """
 
-IDLE_BEAT_SESSIONS = 2.0
-"""The same as a multiple of a session's lease, which must run out between two of them."""
+IDLE_HEARTBEAT_SESSIONS = 2.0
+"""Minimum time between these heartbeats in session leases; one must expire between two of them."""
 
-FRESH_HEARTBEATS = 2.0
-"""Heartbeats by which a word of a target may be late and it is still given new work."""
+MAX_SILENT_HEARTBEATS = 2.0
+"""Heartbeat intervals for which a target may be silent and still get new tasks."""
 
 CLOCK_MARGIN = 0.002
-"""Seconds that two readings of clocks may be off, as they are told in whole milliseconds."""
+"""Seconds by which two clock readings may differ, as they are sent in whole milliseconds."""
 
-CHECKS_A_SESSION = 6
-"""How often within a session's length an entry looks for what time has decided."""
+CHECKS_PER_SESSION = 6
+"""Checks for expired deadlines per session lease."""
 
 MIN_LEASE = 0.05
-"""Seconds below which a lease can't be renewed reliably."""
+"""Shortest lease in seconds that can be renewed reliably."""
 
 
 class BoundsError(ValueError):
-    """The bounds leave no room for the leases."""
+    """Raised if the bounds leave no time for the leases."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a deployment promises and asks, in seconds.
-
-    `resend`: a caller that met silence or a broken connection sends again after this long.
-    `hold_max`: the longest lease that a runner grants. `stop`: how long a stop takes at most.
-    `drain`: after it, a target that leaves may start nothing. `grace`: time from SIGTERM to
-    SIGKILL. `config_apply`: in it, an accepted configuration is in force. `remote_factor`: how many
-    times as long a task takes away from the rack where its data lies. `caller_delay`: the longest
-    way of a packet from a caller to an entry. `cold_overrun`: how many times as long a task takes
-    on a runner that is cold after its start. `hall_preference`: what the bytes of a way between
-    halls cost, as a share of a runner's room.
+    """Time bounds of a deployment, in seconds unless said otherwise.
+
+    `resend`: time after which a caller retries without an answer. `hold_max`: longest lease that a
+    runner grants. `stop`: longest time to stop a task. `drain`: time after which a leaving target
+    starts nothing. `grace`: time from SIGTERM to SIGKILL. `config_apply`: time until an accepted
+    configuration is in force. `remote_factor`: ratio of a task's run times away from its data's
+    rack and in it. `caller_delay`: longest network delay from a caller to an entry. `cold_overrun`:
+    ratio of a task's run times on a cold and a warm runner. `hall_preference`: weight of a transfer
+    between halls, as a share of a runner's capacity.
     """
 
     resend: float = 1.3
@@ -84,10 +83,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseTimes:
-    """Lengths of the leases, in seconds.
-
-    `session` + `hold` * (1 + drift) + `stop` + margin never exceeds the bound `resend`.
-    """
+    """Durations of the leases, in seconds."""
 
     heartbeat: float
     session: float
@@ -97,89 +93,92 @@
 
     @property
     def late_hold_max(self) -> float:
-        """Longest lease in seconds that a runner takes by an order for its life before.
+        """Longest lease that a runner grants on an order meant for its previous incarnation.
 
-        That life's clock was ahead, so all that bounds it is `hold_max`, by a clock that may be
-        slow for longer than `overrun` allows for.
+        That incarnation's clock may have been ahead, so only `hold_max` limits the lease, on a
+        clock that may be slow for longer than `overrun` covers.
         """
         return self.hold_max + (self.hold_max - self.hold) * CLOCK_DRIFT
 
     @property
     def min_reply_interval(self) -> float:
-        """Shortest time between two frames of an entry that only answer a heartbeat."""
+        """Minimum time between two frames of an entry that only answer heartbeats."""
         return self.heartbeat / 2
 
     @property
     def normal_echo_age(self) -> float:
-        """Age in seconds that a peer's newest echo rarely exceeds while nothing holds it up."""
+        """Highest usual age of a peer's newest echo without congestion."""
         return 2 * self.heartbeat
 
     @property
     def reconnect_after(self) -> float:
-        """Seconds of silence after which a target makes the connection of a session anew."""
-        return self.session * REDIAL_SHARE
+        """Silence after which a target reopens the connection of a session."""
+        return self.session * RECONNECT_SHARE
 
     @property
     def idle_heartbeat(self) -> float:
-        """Seconds between two heartbeats of a target in an idle session."""
-        return max(IDLE_BEAT, IDLE_BEAT_SESSIONS * self.session)
+        """Time between two heartbeats of a target in an idle session."""
+        return max(MIN_IDLE_HEARTBEAT, IDLE_HEARTBEAT_SESSIONS * self.session)
 
     @property
     def min_idle_reply_interval(self) -> float:
-        """Shortest time between two frames of an entry that only answer reports of an idle target.
+        """Minimum time between two frames of an entry that only answer an idle target's reports.
 
-        A run that is still being stopped there keeps its session's lease by them.
+        They keep the session lease of a run that is still being stopped there.
         """
         return self.session / 2
 
     @property
     def idle_session(self) -> float:
-        """Seconds of silence after which an idle session is over."""
+        """Silence after which an idle session expires."""
         return self.idle_heartbeat + self.session
 
     @property
     def max_silence(self) -> float:
-        """Seconds since its last word for which a target that has work is given more."""
-        return self.heartbeat * FRESH_HEARTBEATS
+        """Silence up to which a target with tasks of the entry gets more."""
+        return self.heartbeat * MAX_SILENT_HEARTBEATS
 
     @property
     def max_idle_silence(self) -> float:
-        """The same for a target that has no work of the entry."""
+        """Silence up to which a target without tasks of the entry gets some."""
         return self.idle_heartbeat + self.max_silence
 
     @property
     def confirm_timeout(self) -> float:
-        """Seconds for which a target keeps an assignment that no echo has confirmed yet."""
+        """Time for which a target keeps an assignment that no echo has confirmed."""
         return self.session / 2
 
     @property
     def lapse(self) -> float:
-        """Seconds from an entry's last echo until a target starts nothing more by it."""
+        """Time from an entry's last echo until a target starts nothing more for it."""
         return self.session * (1 + CLOCK_DRIFT) + CLOCK_MARGIN
 
     @property
     def check_interval(self) -> float:
-        """Seconds between two looks of an entry at what time has decided."""
-        return self.session / CHECKS_A_SESSION
+        """Interval at which an entry checks for expired deadlines."""
+        return self.session / CHECKS_PER_SESSION
 
     @property
     def overrun(self) -> float:
-        """Seconds from the end of a runner's lease until nothing can run there any more."""
+        """Time from the end of a runner's lease until nothing can run there."""
         return self.hold * CLOCK_DRIFT + self.stop
 
     @property
     def run_expiry(self) -> float:
-        """Seconds from a runner's last renewal until nothing can run there any more."""
+        """Time from a runner's last renewal until nothing can run there."""
         return self.hold + self.overrun
 
     @property
     def session_expiry(self) -> float:
-        """Seconds from an entry's last sign of life until nothing of it can run any more."""
+        """Time from an entry's last message until nothing of it can run."""
         return self.session + self.run_expiry
 
 
 def lease_times(bounds: Bounds) -> LeaseTimes:
-    """Divide the time before a caller's retry among the nested leases."""
+    """Divide the time before a caller's retry among the nested leases.
+
+    Raises `BoundsError` if too little time is left for one of them.
+    """
     budget = bounds.resend - bounds.stop - LEASE_MARGIN
     session = budget * SESSION_SHARE
     hold = min(bounds.hold_max, (budget - session) / (1 + CLOCK_DRIFT))
@@ -188,5 +187,5 @@
             f"resend {bounds.resend} s, hold {bounds.hold_max} s and stop {bounds.stop} s"
             " leave no time for leases"
         )
-    heartbeat = session / HEARTBEATS_A_SESSION
+    heartbeat = session / HEARTBEATS_PER_SESSION
     return LeaseTimes(heartbeat, session, hold, bounds.stop, bounds.hold_max)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -1,9 +1,9 @@
-"""How long a host's own sends wait at its link, and what it leaves undone while they wait long.
+"""Detection of congestion on a host's own link, and the load to shed meanwhile.
 
-Fed a few times a second with what all its connections hold unsent. A wait counts only if it is the
-own link's: several connections must hold bytes, most of those that were written to, and the peers'
-echoes must come late too, if there are any. A peer that doesn't read, or can't be reached, holds
-bytes of its own connections only.
+It is given samples of the unsent bytes on all connections a few times per second. A wait counts
+only if the host's own link causes it: several connections must hold bytes, among them most of those
+written to, and the peers' echoes, if any, must be late too. A peer that doesn't read or is
+unreachable holds up its own connection only.
 """
 
 from collections import deque
@@ -13,51 +13,51 @@
 
 from paddleshunt_core.events import Log, note
 
-SHED_WAIT = 0.1
-"""Seconds of wait from which what can wait is shed: answers are due 60 ms after the work."""
+SHED_ENTER_SECONDS = 0.1
+"""Seconds of wait from which deferrable work is shed."""
 
-SHED_LEAVE = 0.04
-"""Seconds of wait below which nothing is shed any more."""
+SHED_LEAVE_SECONDS = 0.04
+"""Seconds of wait below which shedding ends."""
 
-PRESS_WAIT = 0.25
-"""Seconds of wait from which no new jobs are taken: half of what callers see as a choked host."""
+REJECT_ENTER_SECONDS = 0.25
+"""Seconds of wait from which new jobs are rejected."""
 
-PRESS_LEAVE = 0.1
-"""Seconds of wait below which jobs are taken again."""
+REJECT_LEAVE_SECONDS = 0.1
+"""Seconds of wait below which new jobs are accepted again."""
 
-SAMPLES = 2
-"""Samples in a row that must show a wait, or that it is over: a burst drains between two."""
+CONSECUTIVE_SAMPLES = 2
+"""Consecutive samples needed to enter or leave a level; a burst drains between two."""
 
-LEAST_STAY = 1.0
-"""Seconds for which a level is kept at least, so that what was shed has had its effect."""
+MIN_LEVEL_SECONDS = 1.0
+"""Minimum seconds at a level, for shedding to take effect."""
 
-READY_PAUSE = 3.0
-"""Seconds without pressure after which new connections are asked for again.
+READY_DELAY_SECONDS = 3.0
+"""Seconds without pressure after which new connections are accepted again.
 
-The balancer takes two seconds to follow; readiness that changes faster tells it nothing.
+The load balancer can't follow readiness that changes faster.
 """
 
-LEAST_HOLDING = 3
-"""Connections that must hold bytes at once: fewer may be peers that are gone."""
+MIN_HOLDING_CONNECTIONS = 3
+"""Connections that must hold bytes at once; fewer may be unreachable peers."""
 
-LEAST_SHARE = 0.5
-"""Part of the connections in use that must hold bytes; a hall that is cut off is a smaller part."""
+MIN_HOLDING_SHARE = 0.5
+"""Share of the active connections that must hold bytes; an unreachable hall is a smaller one."""
 
-LEAST_RATE = 12_500.0
-"""Bytes a second that a link is taken to carry at least: a job's messages take 0.4 s at it."""
+MIN_RATE = 12_500.0
+"""Lowest link rate assumed, in bytes per second."""
 
-RATE_STEP = 0.5
-"""Weight of the newest sample in the rate at which the link drains what is held."""
+RATE_WEIGHT = 0.5
+"""Weight of the newest sample in the moving average of the drain rate."""
 
-LONGEST_WAIT = 10.0
-"""Seconds; a longer wait is told as this one."""
+MAX_WAIT_SECONDS = 10.0
+"""Longest wait reported, in seconds."""
 
-ECHO_WINDOW = 300
-"""Samples whose least echo age is taken for the usual one: a minute at five a second."""
+ECHO_WINDOW_SAMPLES = 300
+"""Samples whose lowest echo age is the baseline: one minute at five per second."""
 
 
 class PressureLevel(IntEnum):
-    """SHEDDING: what can wait is left undone. PRESSED: no new jobs either."""
+    """SHEDDING: deferrable work is skipped. PRESSED: new jobs are rejected as well."""
 
     NORMAL = 0
     SHEDDING = 1
@@ -67,12 +67,12 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LinkSample:
-    """What all connections of a process hold at one moment.
+    """The state of all connections of a process at one moment.
 
-    `unsent` bytes are held, `largest` of them by one connection; `written` is the sum of all bytes
-    that were ever handed to connections. Of `active` connections, which hold bytes or were written
-    to since the last sample, `holding` hold some. `echo` is how old the peers' newest echoes are,
-    in seconds, at a good quarter of them; None without peers that echo.
+    `unsent` is the number of bytes held by all connections, `largest` that held by one of them, and
+    `written` that of all bytes ever handed to connections. `active` connections hold bytes or were
+    written to since the last sample; `holding` of them hold some. `echo` is the lower-quartile age
+    in seconds of the peers' newest echoes; None without peers that echo.
     """
 
     unsent: int
@@ -95,43 +95,43 @@
         self._normal_echo_age = normal_echo_age
         self.level = PressureLevel.NORMAL
         self.wait = 0.0
-        """Seconds that bytes wait at the link now."""
-        self._since = float("-inf")
-        """When the level was entered."""
+        """Seconds that bytes currently wait at the link."""
+        self._level_since = float("-inf")
+        """When the level last changed."""
         self._pressed_at = float("-inf")
-        """When the link was pressed last."""
-        self._last: tuple[float, LinkSample] | None = None
+        """When the level was PRESSED last."""
+        self._previous: tuple[float, LinkSample] | None = None
         self._rate: float | None = None
-        self._above = {PressureLevel.SHEDDING: 0, PressureLevel.PRESSED: 0}
-        """Samples in a row whose wait was long enough for a level."""
-        self._below = {PressureLevel.SHEDDING: 0, PressureLevel.PRESSED: 0}
-        """The same for waits short enough to leave it."""
-        self._echoes: deque[float] = deque(maxlen=ECHO_WINDOW)
+        self._samples_above = {PressureLevel.SHEDDING: 0, PressureLevel.PRESSED: 0}
+        """Consecutive samples with a wait long enough to enter a level, by level."""
+        self._samples_below = {PressureLevel.SHEDDING: 0, PressureLevel.PRESSED: 0}
+        """Consecutive samples with a wait short enough to leave a level, by level."""
+        self._echoes: deque[float] = deque(maxlen=ECHO_WINDOW_SAMPLES)
 
     def needs_full_sample(self, echo: float | None) -> bool:
-        """Whether a sample should be taken thoroughly: the level is raised, or echoes come late."""
-        return self.level is not PressureLevel.NORMAL or self._lateness(echo) >= SHED_LEAVE
+        """Whether to take a full sample: the level is raised, or echoes are late."""
+        return self.level is not PressureLevel.NORMAL or self._lateness(echo) >= SHED_LEAVE_SECONDS
 
     def rejects_connections(self, now: float) -> bool:
-        """Whether new connections had better go to another host."""
-        return now < self._pressed_at + READY_PAUSE
+        """Whether new connections should go to another host."""
+        return now < self._pressed_at + READY_DELAY_SECONDS
 
     def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
-        """Take a sample; return the line that tells of a new level."""
+        """Process a sample; return a log line if the level changes."""
         self._measure_rate(now, sample)
         self.wait = self._wait(sample)
         if sample.echo is not None:
             self._echoes.append(sample.echo)
-        self._last = (now, sample)
-        self._count()
+        self._previous = (now, sample)
+        self._count_samples()
         before = self.level
-        if now >= self._since + LEAST_STAY:
+        if now >= self._level_since + MIN_LEVEL_SECONDS:
             self.level = self._next_level()
         if self.level is PressureLevel.PRESSED:
             self._pressed_at = now
         if self.level is before:
             return []
-        self._since = now
+        self._level_since = now
         event = "link_pressed" if self.level > before else "link_eased"
         fields: dict[str, str | int | float] = {
             "level": self.level.name.lower(),
@@ -144,46 +144,46 @@
         return [note(event, **fields)]
 
     def _measure_rate(self, now: float, sample: LinkSample) -> None:
-        """Learn how fast the link drains; only while bytes were held all along it shows that."""
-        if self._last is None:
+        """Update the drain rate; only an interval in which bytes were held throughout shows it."""
+        if self._previous is None:
             return
-        then, last = self._last
-        if not (last.unsent and sample.unsent) or now <= then:
+        previous_at, last = self._previous
+        if not (last.unsent and sample.unsent) or now <= previous_at:
             self._rate = None
             return
         drained = sample.written - last.written - (sample.unsent - last.unsent)
-        rate = max(0.0, drained / (now - then))
+        rate = max(0.0, drained / (now - previous_at))
         known = rate if self._rate is None else self._rate
-        self._rate = known + RATE_STEP * (rate - known)
+        self._rate = known + RATE_WEIGHT * (rate - known)
 
     def _wait(self, sample: LinkSample) -> float:
-        """Return how long what is held waits; 0 if it is not the own link that holds it."""
-        least = max(LEAST_HOLDING, LEAST_SHARE * sample.active)
+        """Return how long unsent bytes wait, in seconds; 0 if the cause is not the own link."""
+        least = max(MIN_HOLDING_CONNECTIONS, MIN_HOLDING_SHARE * sample.active)
         if self._rate is None or sample.holding < least:
             return 0.0
-        held = sample.unsent - sample.largest
-        wait = min(LONGEST_WAIT, held / max(LEAST_RATE, self._rate))
+        unsent = sample.unsent - sample.largest
+        wait = min(MAX_WAIT_SECONDS, unsent / max(MIN_RATE, self._rate))
         return wait if sample.echo is None else min(wait, self._lateness(sample.echo))
 
     def _lateness(self, echo: float | None) -> float:
-        """Return by how much echoes come later than the earliest seen lately."""
+        """Return by how many seconds echoes are later than the baseline."""
         if echo is None:
             return 0.0
-        usual = min(self._normal_echo_age, min(self._echoes, default=echo))
-        return max(0.0, echo - usual)
+        baseline = min(self._normal_echo_age, min(self._echoes, default=echo))
+        return max(0.0, echo - baseline)
 
-    def _count(self) -> None:
+    def _count_samples(self) -> None:
         limits = {
-            PressureLevel.SHEDDING: (SHED_WAIT, SHED_LEAVE),
-            PressureLevel.PRESSED: (PRESS_WAIT, PRESS_LEAVE),
+            PressureLevel.SHEDDING: (SHED_ENTER_SECONDS, SHED_LEAVE_SECONDS),
+            PressureLevel.PRESSED: (REJECT_ENTER_SECONDS, REJECT_LEAVE_SECONDS),
         }
         for level, (enter, leave) in limits.items():
-            self._above[level] = self._above[level] + 1 if self.wait >= enter else 0
-            self._below[level] = self._below[level] + 1 if self.wait < leave else 0
+            self._samples_above[level] = self._samples_above[level] + 1 if self.wait >= enter else 0
+            self._samples_below[level] = self._samples_below[level] + 1 if self.wait < leave else 0
 
     def _next_level(self) -> PressureLevel:
         for level in (PressureLevel.PRESSED, PressureLevel.SHEDDING):
-            stays = self.level >= level and self._below[level] < SAMPLES
-            if stays or self._above[level] >= SAMPLES:
+            stays = self.level >= level and self._samples_below[level] < CONSECUTIVE_SAMPLES
+            if stays or self._samples_above[level] >= CONSECUTIVE_SAMPLES:
                 return level
         return PressureLevel.NORMAL
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -183,7 +183,7 @@
             kind
             for kind in kinds
             if kind.factor <= likely * usual
-            and kind.least <= slowest * usual
+            and kind.min_slowness <= slowest * usual
             and need.fits(kind.capacity)
         ]
         return bool(fit) and not any(need.fits(kind.free) for kind in fit)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/resources.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/resources.py
@@ -1,13 +1,13 @@
-"""What a task needs and a runner has: processor, memory and accelerators."""
+"""Resource amounts of tasks and runners: processor, memory and accelerators."""
 
 from typing import Annotated, final
 
 import msgspec
 
 MAX_AMOUNT = 10**12
-"""Of anything, in a frame: far above any host, and sums of it still fit into a frame.
+"""Largest amount of a resource in a frame: above any host's, and small enough to be summed.
 
-What is free may be negative: a runner's capacity can shrink below what runs there.
+Free resources may be negative, as a runner's capacity can shrink below its load.
 """
 
 Amount = Annotated[int, msgspec.Meta(ge=-MAX_AMOUNT, le=MAX_AMOUNT)]
@@ -35,16 +35,16 @@
             self.accelerators - other.accelerators,
         )
 
-    def fits(self, room: "Resources") -> bool:
-        """Whether `room` is enough for this need."""
+    def fits(self, available: "Resources") -> bool:
+        """Whether these resources are available in `available`."""
         return (
-            self.processor <= room.processor
-            and self.memory <= room.memory
-            and self.accelerators <= room.accelerators
+            self.processor <= available.processor
+            and self.memory <= available.memory
+            and self.accelerators <= available.accelerators
         )
 
     def share_of(self, capacity: "Resources") -> float:
-        """Return the largest share of `capacity` that this takes, over all kinds of resource."""
+        """Return the largest share of `capacity` that this uses, over all kinds of resource."""
         shares = [
             part / whole
             for part, whole in (
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
@@ -1,4 +1,4 @@
-"""Which targets may be given work at one moment, and whether there is room on any."""
+"""A snapshot of the targets that accept tasks, and of their free resources."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,28 +12,28 @@
 @final
 @dataclass(frozen=True, slots=True)
 class KindCapacity:
-    """What runners of one kind of host have room for.
+    """Resources of the runners on one kind of host.
 
-    `least` and `capacity` are those of warm runners that are not on probation: only such a one is
-    worth waiting for.
+    Only warm runners that are not on probation count in `min_slowness` and `capacity`, as no task
+    waits for any other.
     """
 
     factor: float
-    """How many times as long as expected tasks take on the kind."""
-    least: float
-    """The same for the fastest runner."""
+    """Ratio of task times on the kind and elsewhere."""
+    min_slowness: float
+    """Ratio of task times on the fastest runner and elsewhere."""
     free: Resources
-    """The most that may be free on a runner."""
+    """Upper bound of the free resources of any runner, per kind of resource."""
     capacity: Resources
-    """The most that a runner may have."""
+    """Upper bound of the capacity of any runner, per kind of resource."""
 
 
 @final
 class TargetSnapshot:
-    """A view of all targets at one moment; it is made anew for each decision on many jobs.
+    """A snapshot of all targets at one moment, for a batch of placement decisions.
 
-    Room only shrinks while tasks are placed, so what is remembered of it errs towards a look
-    that finds nothing.
+    Free resources only shrink while tasks are placed, so a cached value is at worst too high, and
+    costs a search without a result.
     """
 
     def __init__(self, now: float, targets: Iterable[TargetRecord], times: LeaseTimes) -> None:
@@ -41,11 +41,11 @@
         self._targets = list(targets)
         self._times = times
         self._usable: dict[str, list[TargetRecord]] = {}
-        self._most: dict[str, Resources] = {}
+        self._maximum: dict[str, Resources] = {}
         self._kinds: dict[str, list[KindCapacity]] = {}
 
     def known(self, service: str) -> list[TargetRecord]:
-        """Return the targets that have reported as ones of a service."""
+        """Return the targets whose last report names a service."""
         return [t for t in self._targets if t.report is not None and t.report.service == service]
 
     def usable(self, service: str) -> list[TargetRecord]:
@@ -57,13 +57,13 @@
         return self._usable[service]
 
     def may_fit(self, service: str, need: Resources) -> bool:
-        """Whether a target of a service may have room for a task; cheap, and never wrongly no."""
-        if service not in self._most:
-            self._most[service] = _most(t.free for t in self.usable(service))
-        return need.fits(self._most[service])
+        """Whether a target of a service may have room for a task; a False is always right."""
+        if service not in self._maximum:
+            self._maximum[service] = _maximum(t.free for t in self.usable(service))
+        return need.fits(self._maximum[service])
 
     def kinds(self, service: str) -> list[KindCapacity]:
-        """Return what the kinds of hosts there have."""
+        """Return the resources of a service by kind of host."""
         if service not in self._kinds:
             kinds: dict[float, list[TargetRecord]] = {}
             for target in self.usable(service):
@@ -72,22 +72,22 @@
         return self._kinds[service]
 
     def _kind(self, factor: float, targets: list[TargetRecord]) -> KindCapacity:
-        sound = [t for t in targets if not t.on_probation and not t.is_cold(self._now)]
+        eligible = [t for t in targets if not t.on_probation and not t.is_cold(self._now)]
         return KindCapacity(
             factor,
-            min((t.slowness for t in sound), default=float("inf")),
-            _most(t.free for t in targets),
-            _most(t.report.capacity for t in sound if t.report is not None),
+            min((t.slowness for t in eligible), default=float("inf")),
+            _maximum(t.free for t in targets),
+            _maximum(t.report.capacity for t in eligible if t.report is not None),
         )
 
 
-def _most(rooms: Iterable[Resources]) -> Resources:
-    """Return the largest of each kind of resource, from whichever room."""
+def _maximum(items: Iterable[Resources]) -> Resources:
+    """Return the maximum of each kind of resource over all items."""
     most = Resources(-1, -1, -1)
-    for room in rooms:
+    for item in items:
         most = Resources(
-            max(most.processor, room.processor),
-            max(most.memory, room.memory),
-            max(most.accelerators, room.accelerators),
+            max(most.processor, item.processor),
+            max(most.memory, item.memory),
+            max(most.accelerators, item.accelerators),
         )
     return most
--- a/testing/core/leased/test_bounds.py
+++ b/testing/core/leased/test_bounds.py
@@ -1,4 +1,4 @@
-"""The nested leases end before a caller sends again."""
+"""Nested leases expire before a caller's retry."""
 
 import pytest
 from paddleshunt_core.leased.bounds import (
@@ -20,7 +20,7 @@
     ],
     ids=["council", "short", "long", "any-hold"],
 )
-def test_leases_end_before_the_resend(bounds: Bounds) -> None:
+def test_leases_expire_before_the_retry(bounds: Bounds) -> None:
     times = lease_times(bounds)
     longest = times.session + times.hold * (1 + CLOCK_DRIFT) + bounds.stop + LEASE_MARGIN
     assert longest <= bounds.resend + 1e-9
@@ -28,6 +28,6 @@
     assert times.heartbeat < times.session / 3
 
 
-def test_bounds_without_room_are_refused() -> None:
+def test_bounds_without_time_for_leases_are_rejected() -> None:
     with pytest.raises(BoundsError, match="no time for leases"):
         lease_times(Bounds(resend=0.2))
--- a/testing/core/leased/test_capacity.py
+++ b/testing/core/leased/test_capacity.py
@@ -1,4 +1,4 @@
-"""Runners whose capacity shrinks and grows as they run, and that start what they are told."""
+"""Runners whose capacity changes while tasks run and start orders are under way."""
 
 import pytest
 from leasedfleet import CAPACITY, Fleet
@@ -10,8 +10,8 @@
 from paddleshunt_core.leased.wire import Assign, End, Ended, Frame, Hello, RunnerReport
 from paddleshunt_core.leased.worker import Worker
 
-FULL = Resources(4000, 100)
-HALF = Resources(2000, 100)
+FULL_CAPACITY = Resources(4000, 100)
+HALF_CAPACITY = Resources(2000, 100)
 NEED = Resources(1000, 10)
 
 
@@ -25,14 +25,14 @@
 def worker() -> Worker:
     """A worker in session with an entry since 1.0, whose runner has room for four tasks."""
     worker = Worker(lease_times(Bounds()))
-    worker.heartbeat_received(0.9, status(FULL, 1))
+    worker.heartbeat_received(0.9, status(FULL_CAPACITY, 1))
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
 
 def orders(worker: Worker, now: float, tasks: int) -> list[StartRun]:
-    """Return the orders that an assignment of so many tasks brings about."""
+    """Return the start orders that an assignment of so many tasks causes."""
     session = worker.session("e")
     assert session is not None
     body = Assign(f"job{now}", 0, "spec", NEED, 400, 4000, [(index, 1) for index in range(tasks)])
@@ -43,18 +43,18 @@
     ]
 
 
-def told(worker: Worker, now: float) -> list[object]:
-    """Return what the entry is told next."""
+def message_bodies(worker: Worker, now: float) -> list[object]:
+    """Return the message bodies due for the entry."""
     session = worker.session("e")
     assert session is not None
     worker.prepare_frames(now)
     return list(session.frame(round(now * 1000)).bodies)
 
 
-def test_orders_under_way_are_held_back_until_the_rest_fits(worker: Worker) -> None:
-    """Four left together; the runner shrinks before any of them has been sent."""
+def test_unsent_start_orders_are_withdrawn_until_the_rest_fits(worker: Worker) -> None:
+    """Four orders are issued together, and the runner shrinks before any is sent."""
     started = orders(worker, 1.1, 4)
-    worker.heartbeat_received(1.11, status(HALF, 2))
+    worker.heartbeat_received(1.11, status(HALF_CAPACITY, 2))
     sent = 0
     for order in started:
         if worker.may_send(1.12, order.run, "e"):
@@ -63,40 +63,42 @@
         else:
             worker.start_answered(1.13, order.run, StartAnswer.WITHDRAWN)
     assert sent == 2
-    (ended,) = [body for body in told(worker, 1.14) if isinstance(body, Ended)]
+    (ended,) = [body for body in message_bodies(worker, 1.14) if isinstance(body, Ended)]
     assert [end for _, end in ended.ends] == [End.NOT_STARTED, End.NOT_STARTED]
 
 
-def test_what_runs_goes_on_and_nothing_is_added_while_it_is_too_much(worker: Worker) -> None:
+def test_running_tasks_continue_and_none_starts_above_capacity(worker: Worker) -> None:
     for order in orders(worker, 1.1, 3):
         worker.start_answered(1.11, order.run, StartAnswer.STARTED)
     assert not [
-        e for e in worker.heartbeat_received(1.2, status(HALF, 2)) if isinstance(e, StartRun)
+        e
+        for e in worker.heartbeat_received(1.2, status(HALF_CAPACITY, 2))
+        if isinstance(e, StartRun)
     ]
     assert orders(worker, 1.21, 1) == []
     assert worker.runs == 3
 
 
-def test_a_room_that_has_shrunk_to_nothing_is_used_as_soon_as_it_is_back(worker: Worker) -> None:
+def test_capacity_that_returns_is_used_at_once(worker: Worker) -> None:
     worker.heartbeat_received(1.1, status(Resources(), 2))
     assert orders(worker, 1.11, 1) == []
-    reports = [body for body in told(worker, 1.2) if isinstance(body, RunnerReport)]
+    reports = [body for body in message_bodies(worker, 1.2) if isinstance(body, RunnerReport)]
     assert reports[-1].free == Resources()
-    worker.heartbeat_received(1.3, status(FULL, 3))
-    reports = [body for body in told(worker, 1.4) if isinstance(body, RunnerReport)]
-    assert reports[-1].free == FULL
+    worker.heartbeat_received(1.3, status(FULL_CAPACITY, 3))
+    reports = [body for body in message_bodies(worker, 1.4) if isinstance(body, RunnerReport)]
+    assert reports[-1].free == FULL_CAPACITY
     assert len(orders(worker, 1.41, 4)) == 4
 
 
-def test_a_late_heartbeat_brings_no_old_room_back(worker: Worker) -> None:
-    worker.heartbeat_received(1.1, status(HALF, 5))
-    worker.heartbeat_received(1.2, status(FULL, 4))
+def test_an_outdated_heartbeat_does_not_restore_capacity(worker: Worker) -> None:
+    worker.heartbeat_received(1.1, status(HALF_CAPACITY, 5))
+    worker.heartbeat_received(1.2, status(FULL_CAPACITY, 4))
     assert len(orders(worker, 1.3, 4)) == 2
 
 
 @pytest.mark.parametrize("least", [0, 2000], ids=["to_nothing", "to_a_quarter"])
-def test_all_runners_shrink_at_once_and_none_is_overfilled(least: int) -> None:
-    """`Fleet.check` holds each start against the room, what is being stopped included."""
+def test_no_runner_is_overloaded_when_all_shrink_at_once(least: int) -> None:
+    """`Fleet.check` verifies the capacity at each start, including runs that are being stopped."""
     fleet = Fleet(entries=2, targets=4)
     for runner in fleet.runners.values():
         runner.guards = False
--- a/testing/core/leased/test_crashes.py
+++ b/testing/core/leased/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tasks that crash each runner that starts them: how often one is tried, at what cost to others."""
+"""Tasks that crash every runner they start on: how often they are tried, and the cost to others."""
 
 from collections.abc import Callable
 
@@ -11,22 +11,22 @@
 BAD = TaskId("bad", 0, 0)
 
 UNDECIDED = GivenUp(SILENT_RUNNERS)
-"""What a caller is told while the lost runners may yet answer: its job is not started again."""
+"""The answer while the lost runners may yet return: the job is not started again."""
 
 ENDED = GivenUp(ENDED_RUNNERS)
-"""What it is told once they are known to have ended; it is not started again."""
+"""The answer once the runners are known to have ended: the job is not started again."""
 
 BACK_SECONDS = AWAY_SECONDS + 0.5
-"""Seconds after which runners that were lost are known to have ended: others answer instead."""
+"""Seconds after which lost runners are known to have ended, as new ones replace them."""
 
 
-def handed_in_again(fleet: Fleet, entry: str) -> JobOutcome:
-    """Hand the crashing job in again and return what is answered at once."""
+def resubmit(fleet: Fleet, entry: str) -> JobOutcome:
+    """Submit the crashing job again and return the immediate answer."""
     return fleet.answers[fleet.submit_crashing(entry, "bad", count=1)]
 
 
 def busy_runner(fleet: Fleet) -> str:
-    """Return the one runner that has something at work."""
+    """Return the name of the one runner with a running task."""
     (name,) = [name for name, runner in fleet.runners.items() if runner.running]
     return name
 
@@ -38,10 +38,10 @@
     fleet.run(2.0)
     assert fleet.answers[caller] == UNDECIDED
     fleet.run(BACK_SECONDS)
-    assert handed_in_again(fleet, "e0") == ENDED
+    assert resubmit(fleet, "e0") == ENDED
 
 
-def test_a_crashing_job_that_is_sent_to_one_entry_after_another_is_not_begun_anew() -> None:
+def test_a_crashing_job_sent_to_several_entries_keeps_its_history() -> None:
     fleet = Fleet(entries=3, targets=12)
     fleet.settle()
     for entry in ("e0", "e1", "e2"):
@@ -58,36 +58,36 @@
     fleet.run(2.0)
     assert fleet.answers[bad] == UNDECIDED
     for _ in range(4):
-        handed_in_again(fleet, "e1")
+        resubmit(fleet, "e1")
         fleet.run(1.0)
     assert fleet.crashes.crashed[BAD] == 2
-    assert handed_in_again(fleet, "e1") == ENDED
+    assert resubmit(fleet, "e1") == ENDED
 
 
-def test_a_job_that_shared_one_runner_with_a_crashing_one_completes() -> None:
+def test_a_sound_job_beside_a_crashing_one_completes() -> None:
     fleet = Fleet(entries=2, targets=8)
     fleet.settle()
     sound = [fleet.submit("e0", f"sound{n}", count=8, length=0.3) for n in range(2)]
     bad = fleet.submit_crashing("e1", "bad", count=1, deadline=6.0)
     fleet.run(6.5)
     assert fleet.answers[bad] == UNDECIDED
-    assert handed_in_again(fleet, "e1") == ENDED
+    assert resubmit(fleet, "e1") == ENDED
     assert [fleet.answers[caller] for caller in sound] == [Completed(), Completed()]
     assert fleet.ends("runner_lost")
 
 
-def test_a_job_known_to_crash_runners_is_answered_before_its_first_start() -> None:
+def test_a_job_known_to_crash_runners_is_rejected_before_its_start() -> None:
     fleet = Fleet(entries=3, targets=8)
     fleet.settle()
     fleet.submit_crashing("e0", "bad", count=1, deadline=6.0)
     fleet.run(2.5)
-    assert handed_in_again(fleet, "e1") == UNDECIDED
+    assert resubmit(fleet, "e1") == UNDECIDED
     fleet.run(BACK_SECONDS)
-    assert handed_in_again(fleet, "e2") == ENDED
+    assert resubmit(fleet, "e2") == ENDED
     assert fleet.crashes.crashed[BAD] == 2
 
 
-def test_an_entry_that_starts_after_the_crashes_learns_of_them_from_the_targets() -> None:
+def test_a_restarted_entry_learns_of_crashes_from_the_targets() -> None:
     fleet = Fleet(entries=2, targets=8)
     fleet.settle()
     fleet.submit_crashing("e0", "bad", count=1, deadline=6.0)
@@ -96,17 +96,17 @@
         fleet.kill(entry)
         fleet.start(entry)
     fleet.settle()
-    assert handed_in_again(fleet, "e1") == UNDECIDED
+    assert resubmit(fleet, "e1") == UNDECIDED
     fleet.run(BACK_SECONDS)
     fleet.kill("e0")
     fleet.start("e0")
     fleet.settle()
-    assert handed_in_again(fleet, "e0") == ENDED
+    assert resubmit(fleet, "e0") == ENDED
     assert fleet.crashes.crashed[BAD] == 2
 
 
-def test_a_crash_behind_a_cut_counts_as_soon_as_it_is_told() -> None:
-    """The job has gone on elsewhere meanwhile, and its second runner is the second loss."""
+def test_a_crash_behind_a_partition_counts_once_it_is_reported() -> None:
+    """Meanwhile the job has been retried elsewhere, and its second runner is the second loss."""
     fleet = Fleet(entries=1, targets=6)
     fleet.settle()
     caller = fleet.submit_crashing("e0", "bad", after=0.3, count=1, length=0.6, deadline=6.0)
@@ -119,24 +119,24 @@
     fleet.run(3.0)
     assert fleet.answers[caller] == UNDECIDED
     fleet.run(BACK_SECONDS)
-    assert handed_in_again(fleet, "e0") == ENDED
+    assert resubmit(fleet, "e0") == ENDED
     assert fleet.crashes.crashed[BAD] <= 3
 
 
-def silent(fleet: Fleet, name: str) -> None:
+def mute(fleet: Fleet, name: str) -> None:
     fleet.runners[name].mute = True
 
 
-def cut_off(fleet: Fleet, name: str) -> None:
+def partition(fleet: Fleet, name: str) -> None:
     fleet.cut(name, "e0")
     fleet.cut("e0", name)
 
 
-@pytest.mark.parametrize("lose", [silent, cut_off])
-def test_a_job_whose_runners_are_only_silent_for_a_while_completes(
+@pytest.mark.parametrize("lose", [mute, partition])
+def test_a_job_whose_runners_were_only_unreachable_completes(
     lose: Callable[[Fleet, str], None],
 ) -> None:
-    """Two in turn: the first answers again before the second falls silent."""
+    """The first runner answers again before the second falls silent."""
     fleet = Fleet(entries=1, targets=4)
     fleet.settle()
     caller = fleet.submit("e0", "job", count=1, length=1.0, deadline=9.0)
@@ -152,7 +152,7 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_runners_that_leave_as_they_said_count_for_nothing() -> None:
+def test_runners_that_deregister_are_no_losses() -> None:
     fleet = Fleet(entries=1, targets=4)
     fleet.settle()
     caller = fleet.submit("e0", "job", count=1, length=2.0, deadline=9.0)
@@ -168,14 +168,14 @@
 
 
 def crash_together(fleet: Fleet, count: int) -> None:
-    """Crash the runners of several hosts at once, those at work among them; they come back."""
+    """Crash several runners at once, busy ones first; they are restarted later."""
     busy = sorted(fleet.runners.values(), key=lambda runner: not runner.running)
     for runner in [runner for runner in busy if runner.up][:count]:
         runner.crash()
         runner.crashed_at = fleet.now
 
 
-def test_a_sound_job_survives_two_losses_of_several_runners_at_once() -> None:
+def test_a_sound_job_survives_two_correlated_losses() -> None:
     fleet = Fleet(entries=2, targets=12)
     fleet.settle()
     caller = fleet.submit("e0", "job", count=1, length=1.0, deadline=9.0)
@@ -189,7 +189,7 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_a_crashing_task_takes_one_runner_more_down_if_others_were_lost_beside_one() -> None:
+def test_a_crash_among_correlated_losses_costs_one_more_runner() -> None:
     fleet = Fleet(entries=2, targets=12)
     fleet.settle()
     for name in range(5):
@@ -199,6 +199,6 @@
     crash_together(fleet, 3)
     fleet.run(4.0)
     for _ in range(4):
-        handed_in_again(fleet, "e1")
+        resubmit(fleet, "e1")
         fleet.run(1.0)
     assert fleet.crashes.crashed[BAD] == 3
--- a/testing/core/leased/test_resources.py
+++ b/testing/core/leased/test_resources.py
@@ -20,11 +20,11 @@
     ],
     ids=["all", "processor", "memory", "accelerators"],
 )
-def test_each_kind_must_fit(need: Resources, fits: bool) -> None:
+def test_each_kind_of_resource_must_fit(need: Resources, fits: bool) -> None:
     assert need.fits(WHOLE) is fits
 
 
-def test_shares_are_of_the_kinds_that_there_are() -> None:
+def test_shares_ignore_resources_without_capacity() -> None:
     part = Resources(4000, 1000, 2)
     assert part.share_of(WHOLE) == 1.0
     assert part.share_of(NO_RESOURCES) == 0.0
--- a/testing/core/leased/test_targetsnapshot.py
+++ b/testing/core/leased/test_targetsnapshot.py
@@ -1,4 +1,4 @@
-"""Which targets have room at one moment."""
+"""Usable targets and their free resources in a snapshot."""
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
@@ -9,25 +9,25 @@
 from paddleshunt_core.leased.wire import Health, RunId, RunnerReport, RunnerState, TaskId
 
 TIMES = lease_times(Bounds())
-SIZE = Resources(8000, 8000)
+CAPACITY = Resources(8000, 8000)
 
 
 def target(name: str, free: Resources, service: str = "svc") -> TargetRecord:
     record = TargetRecord(name, "hall", "1", Session(1, 0), connected=True, last_received=10.0)
-    record.report = RunnerReport(service, name, RunnerState.READY, Health.GOOD, SIZE, free)
+    record.report = RunnerReport(service, name, RunnerState.READY, Health.GOOD, CAPACITY, free)
     return record
 
 
-def room(*targets: TargetRecord, now: float = 10.0) -> TargetSnapshot:
+def snapshot(*targets: TargetRecord, now: float = 10.0) -> TargetSnapshot:
     return TargetSnapshot(now, targets, lease_times(Bounds()))
 
 
-def test_room_is_that_of_a_services_targets() -> None:
-    view = room(target("t1", Resources(500, 8000)), target("t2", SIZE, "other"))
-    assert [t.name for t in view.usable("svc")] == ["t1"]
-    assert view.may_fit("svc", Resources(500, 10))
-    assert not view.may_fit("svc", Resources(501, 10))
-    assert view.may_fit("other", Resources(501, 10))
+def test_targets_are_grouped_by_service() -> None:
+    targets = snapshot(target("t1", Resources(500, 8000)), target("t2", CAPACITY, "other"))
+    assert [t.name for t in targets.usable("svc")] == ["t1"]
+    assert targets.may_fit("svc", Resources(500, 10))
+    assert not targets.may_fit("svc", Resources(501, 10))
+    assert targets.may_fit("other", Resources(501, 10))
 
 
 @pytest.mark.parametrize(
@@ -35,16 +35,16 @@
     [(True, TIMES.max_silence), (False, TIMES.max_idle_silence)],
     ids=["held", "idle"],
 )
-def test_a_silent_target_is_known_but_has_no_room(*, held: bool, silence: float) -> None:
-    silent = target("t1", SIZE)
+def test_a_silent_target_is_known_but_not_usable(*, held: bool, silence: float) -> None:
+    silent = target("t1", CAPACITY)
     if held:
         silent.record_run(10.0, RunId(TaskId("job", 0, 0), 1))
-    assert room(silent, now=10.0 + silence - 0.01).usable("svc") == [silent]
-    view = room(silent, now=10.0 + silence + 0.01)
-    assert [t.name for t in view.known("svc")] == ["t1"]
-    assert view.usable("svc") == []
-    assert not view.may_fit("svc", Resources(0, 0))
+    assert snapshot(silent, now=10.0 + silence - 0.01).usable("svc") == [silent]
+    targets = snapshot(silent, now=10.0 + silence + 0.01)
+    assert [t.name for t in targets.known("svc")] == ["t1"]
+    assert targets.usable("svc") == []
+    assert not targets.may_fit("svc", Resources(0, 0))
 
 
-def test_without_targets_there_is_no_room() -> None:
-    assert not room().may_fit("svc", Resources(0, 0))
+def test_without_targets_nothing_fits() -> None:
+    assert not snapshot().may_fit("svc", Resources(0, 0))
