--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -36,7 +36,7 @@
         for job in waiting:
             service = job.queue.service
             if self._may_place(now, job, snapshot):
-                targets = self._containment.targets(job, snapshot.usable(service))
+                targets = self._containment.allowed_targets(job, snapshot.usable(service))
                 logs += self._place_job(now, job, targets)
                 if job.waiting() and self._containment.may_use_other_targets(job):
                     logs += self._place_job(now, job, snapshot.usable(service))
