--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/accounts.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/accounts.py
@@ -21,7 +21,7 @@
     def contradicts(self, known: RunnerAccount | None, told: RunnerAccount) -> bool:
         """Whether `told` is to be passed over, as the known account says otherwise."""
         said, self._said = self._said, None
-        if known is None or not known.runner.agrees(told.runner) or _agree(known, told):
+        if known is None or not known.runner.may_be_same(told.runner) or _agree(known, told):
             return False
         if said is not None and said.runner == told.runner and _agree(said, told):
             return False
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
@@ -16,7 +16,7 @@
 from typing import final
 
 from paddleshunt_core.leased.orders import RunnerAccount
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
 PAST_LIVES = 32
 """Ended lives that are remembered: some per day, and a cut holds a heartbeat back for seconds."""
@@ -48,7 +48,7 @@
     """The lives of one runner: the one that is followed, and those that have ended."""
 
     def __init__(self) -> None:
-        self._current: RunnerLife | None = None
+        self._current: RunnerIncarnation | None = None
         self.changes = 0
         """How often another life has been followed than before, or none any more."""
         self._tells_none = False
@@ -56,12 +56,12 @@
         self._sequence = 0
         self._leap: int | None = None
         """The number of the last account, if it was far ahead of those before."""
-        self._past: deque[RunnerLife] = deque(maxlen=PAST_LIVES)
-        self._denied: deque[RunnerLife] = deque(maxlen=PAST_LIVES)
+        self._past: deque[RunnerIncarnation] = deque(maxlen=PAST_LIVES)
+        self._denied: deque[RunnerIncarnation] = deque(maxlen=PAST_LIVES)
         """Lives that the runner has denied to be while the followed one lives."""
 
     @property
-    def current(self) -> RunnerLife | None:
+    def current(self) -> RunnerIncarnation | None:
         """The life that is followed; it may not have given an account of itself yet."""
         return self._current
 
@@ -90,11 +90,11 @@
         if self._leap is None or not 0 <= self._leap - account.sequence <= MOST_SKIPPED:
             self._leap = account.sequence
 
-    def is_current(self, life: RunnerLife) -> bool:
+    def is_current(self, life: RunnerIncarnation) -> bool:
         """Whether a life may be the one that is followed, as far as both are told."""
         if self._current is None or (self._tells_none and life.born):
             return False
-        return self._current.agrees(life)
+        return self._current.may_be_same(life)
 
     def follow(self, account: RunnerAccount) -> None:
         """Follow the life that an account is of."""
@@ -102,12 +102,12 @@
         self._leap = None
         self._sequence = max(self._sequence, account.sequence)
 
-    def answered_as(self, life: RunnerLife) -> None:
+    def answered_as(self, life: RunnerIncarnation) -> None:
         """Follow the life that the runner itself has said to be in its lists."""
         self.meet(life)
         self._tells_none = self._current is not None and not self._current.born
 
-    def meet(self, life: RunnerLife) -> None:
+    def meet(self, life: RunnerIncarnation) -> None:
         """Follow a life, or learn more of the one that is followed."""
         if not self.is_current(life):
             self.end()
@@ -128,16 +128,16 @@
         self._leap = None
         self._denied.clear()
 
-    def deny(self, life: RunnerLife) -> None:
+    def deny(self, life: RunnerIncarnation) -> None:
         """Note that the runner says it is not this life: it may be the one after the followed."""
         if life not in self._denied:
             self._denied.append(life)
 
-    def note_ended(self, life: RunnerLife) -> None:
+    def note_ended(self, life: RunnerIncarnation) -> None:
         """Note that a life has ended; it is never followed again."""
         if life not in self._past:
             self._past.append(life)
 
-    def _has_ended(self, life: RunnerLife) -> bool:
+    def _has_ended(self, life: RunnerIncarnation) -> bool:
         """Whether a life is known to have ended; one that doesn't tell its start goes by its id."""
-        return life in self._past or (not life.born and any(map(life.agrees, self._past)))
+        return life in self._past or (not life.born and any(map(life.may_be_same, self._past)))
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.lengths import Expectation
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunId, TaskId
 
 STALE_STEP = 16
@@ -86,7 +86,7 @@
     """Targets where it failed or stood still."""
     work: float = 0.0
     """Seconds that its run that ended well worked, were its data near; 0 if they say nothing."""
-    ran_on: RunnerLife | None = None
+    ran_on: RunnerIncarnation | None = None
     """The life of the runner where that was."""
 
     @property
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -12,7 +12,7 @@
 
 from msgspec.structs import replace
 
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import LossId, LossNews, RunnerLost, RunnerReturned, TaskId
 
 KEEP_SECONDS = 60.0
@@ -69,10 +69,10 @@
     """
 
     def __init__(self) -> None:
-        self._losses: dict[RunnerLife, _Known] = {}
+        self._losses: dict[RunnerIncarnation, _Known] = {}
         """By life, in the order in which they were learned."""
-        self._by_task: dict[TaskId, list[RunnerLife]] = {}
-        self._answered: dict[RunnerLife, _Answered] = {}
+        self._by_task: dict[TaskId, list[RunnerIncarnation]] = {}
+        self._answered: dict[RunnerIncarnation, _Answered] = {}
 
     def follow(self, now: float, news: LossNews) -> bool:
         """Follow a word on a lost runner; return whether it was news. A silent one is none."""
@@ -153,16 +153,16 @@
         for life in self.ended(task):
             self._losses[life] = replace_field(self._losses[life], kept=now)
 
-    def runners(self, task: TaskId) -> list[RunnerLife]:
+    def runners(self, task: TaskId) -> list[RunnerIncarnation]:
         """Return the lives of runners that were lost under a task; each may yet answer again."""
         return [*self._by_task.get(task, ())]
 
-    def ended(self, task: TaskId) -> list[RunnerLife]:
+    def ended(self, task: TaskId) -> list[RunnerIncarnation]:
         """Return the lives that are known to have ended since a task was seen at work on them."""
         lives = self._by_task.get(task, ())
         return [life for life in lives if task in self._losses[life].lost.ended]
 
-    def was_shared(self, life: RunnerLife, job: str) -> bool:
+    def was_shared(self, life: RunnerIncarnation, job: str) -> bool:
         """Whether a life was lost together with others that had no task of a job."""
         at = self._losses[life].at
         others = [
@@ -178,7 +178,7 @@
         answered = self._answered.get(loss.life)
         return answered is not None and loss.silent_ms <= answered.silent_ms
 
-    def _forget(self, life: RunnerLife) -> None:
+    def _forget(self, life: RunnerIncarnation) -> None:
         for task in self._losses.pop(life).lost.tasks:
             known = self._by_task[task]
             known.remove(life)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
@@ -5,7 +5,7 @@
 from typing import final
 
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunId
 
 
@@ -14,7 +14,7 @@
 class RunnerAccount:
     """What a runner says of itself: its life, pool, size and whether it is leaving."""
 
-    runner: RunnerLife
+    runner: RunnerIncarnation
     service: str
     hall: str
     capacity: Resources
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -31,8 +31,8 @@
     stands_still,
 )
 from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
 from paddleshunt_core.leased.runnerlease import RunnerLease
-from paddleshunt_core.leased.runnerlife import RunnerLife, as_told
 from paddleshunt_core.leased.runnerlosses import RunnerLosses
 from paddleshunt_core.leased.runnotes import (
     ended_note,
@@ -198,7 +198,7 @@
         left = round(account.cold * 1000)
         return [note("runner_cold", runner=str(account.runner), left_ms=left)]
 
-    def runner_left(self, now: float, life: RunnerLife) -> list[Effect]:
+    def runner_left(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
         current = self.lives.current
         if current is None or not self.lives.is_current(life):
@@ -256,10 +256,10 @@
         self._failed_looks = 0
         return [note("runner_reachable")] if was_unreachable else []
 
-    def _life_of(self, answer: LookAnswer) -> RunnerLife | None:
+    def _life_of(self, answer: LookAnswer) -> RunnerIncarnation | None:
         """Return the life that gave an answer, as far as it says; None if none was meant."""
         current = self.lives.current
-        return None if current is None else RunnerLife(current.id, answer.born)
+        return None if current is None else RunnerIncarnation(current.id, answer.born)
 
     def _read_lists(self, now: float, answer: LookAnswer) -> list[Effect]:
         effects: list[Effect] = []
@@ -530,7 +530,7 @@
         return effects
 
     def _runner_replaced(
-        self, now: float, life: RunnerLife | None, *, answered: bool = True
+        self, now: float, life: RunnerIncarnation | None, *, answered: bool = True
     ) -> list[Effect]:
         """End all that an earlier life of the runner had: it died with it.
 
@@ -540,9 +540,11 @@
         never `answered` may be the next one, which the last one makes wait.
         """
         was = self.lives.current
-        effects: list[Effect] = [note("runner_replaced", was=as_told(was), now=as_told(life))]
+        effects: list[Effect] = [
+            note("runner_replaced", was=format_incarnation(was), now=format_incarnation(life))
+        ]
         effects += self.losses.replaced(now, self.account, self.table)
-        strays = life is not None and was is not None and was.shares_id(life)
+        strays = life is not None and was is not None and was.has_same_id(life)
         for run in self.table:
             if strays:
                 run.outlive(now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlife.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerincarnation.py
@@ -9,7 +9,7 @@
 
 
 @final
-class RunnerLife(msgspec.Struct, frozen=True, order=True):
+class RunnerIncarnation(msgspec.Struct, frozen=True, order=True):
     """A runner's id, and when it started under it (ms since 1970, by its host's clock).
 
     `born` tells lives apart and does not order them: the clock may have been set back between them.
@@ -22,16 +22,16 @@
     def __str__(self) -> str:
         return f"{self.id}@{self.born}" if self.born else self.id
 
-    def agrees(self, other: "RunnerLife") -> bool:
+    def may_be_same(self, other: "RunnerIncarnation") -> bool:
         """Whether both may be the same life, as far as they are told."""
         untold = not self.born or not other.born
         return self.id == other.id and (untold or self.born == other.born)
 
-    def shares_id(self, other: "RunnerLife") -> bool:
+    def has_same_id(self, other: "RunnerIncarnation") -> bool:
         """Whether both are of one id: what is ordered of one may be carried out by the other."""
         return self.id == other.id
 
 
-def as_told(life: RunnerLife | None) -> str:
+def format_incarnation(life: RunnerIncarnation | None) -> str:
     """Return how log lines name a life; empty for none."""
     return "" if life is None else str(life)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
@@ -5,7 +5,7 @@
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.orders import RunnerAccount
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife, as_told
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.wire import End
 
@@ -47,13 +47,13 @@
     return note("run_lapsed", str(run.id.task), **fields)
 
 
-def late_note(account: RunnerAccount, known: RunnerLife | None) -> Log:
+def late_note(account: RunnerAccount, known: RunnerIncarnation | None) -> Log:
     """Return the line on an account that is passed over; `known`: the life that is followed."""
     fields: dict[str, str | int | float] = {
         "runner": str(account.runner),
         "sequence": account.sequence,
         "leaving": account.leaving,
-        "known": as_told(known),
+        "known": format_incarnation(known),
     }
     return note("heartbeat_late", **fields)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
@@ -16,7 +16,7 @@
 from typing import final
 
 from paddleshunt_core.leased.losses import TOGETHER_SECONDS
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import (
     LossId,
     LossNews,
@@ -108,7 +108,7 @@
         """In the order in which they were learned; of each life the latest silence only."""
         self._met: Counter[TaskId] = Counter()
         """On how many of these runners a task was at work."""
-        self._returned: dict[RunnerLife, tuple[int, float]] = {}
+        self._returned: dict[RunnerIncarnation, tuple[int, float]] = {}
         """Of lives that answered again: the latest silence that ended so, and when it was learned.
 
         The one that was learned last is the last.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -6,7 +6,7 @@
 
 from paddleshunt_core.leased.bounds import LeaseTimes
 from paddleshunt_core.leased.resources import NOTHING, Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.wire import Frame, Health, RunId, RunnerReport, RunnerState
 
@@ -62,7 +62,7 @@
     cold_until: float = 0.0
     """When its runner was, or will be, warm after its start."""
 
-    runner: RunnerLife | None = None
+    runner: RunnerIncarnation | None = None
     """The life of its runner that reported last."""
 
     def take_report(self, now: float, report: RunnerReport) -> None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.leased.catalog import Catalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
 
 @final
@@ -145,9 +145,9 @@
     born: int = 0
 
     @property
-    def life(self) -> RunnerLife:
+    def life(self) -> RunnerIncarnation:
         """The life of the runner that it is about."""
-        return RunnerLife(self.runner, self.born)
+        return RunnerIncarnation(self.runner, self.born)
 
 
 @final
@@ -221,12 +221,12 @@
     born: int = 0
 
     @property
-    def life(self) -> RunnerLife:
+    def life(self) -> RunnerIncarnation:
         """The life of the runner that was lost."""
-        return RunnerLife(self.runner, self.born)
+        return RunnerIncarnation(self.runner, self.born)
 
     @classmethod
-    def of(cls, life: RunnerLife, silent_ms: int) -> "LossId":
+    def of(cls, life: RunnerIncarnation, silent_ms: int) -> "LossId":
         """Return the loss of a life."""
         return cls(life.id, silent_ms, life.born)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -18,7 +18,7 @@
 from paddleshunt_core.leased.orders import Look, LookAnswer, RunnerAccount, StartAnswer
 from paddleshunt_core.leased.reporting import Reporter
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.session import Session, good_echo_age
 from paddleshunt_core.leased.standstill import StandStill
@@ -219,7 +219,7 @@
         return self._control.lives.judge(account)
 
     @property
-    def life(self) -> RunnerLife | None:
+    def life(self) -> RunnerIncarnation | None:
         """The life of the runner that is followed."""
         return self._control.lives.current
 
@@ -228,7 +228,7 @@
         """How often that has become another life, or none; one may also be told more of."""
         return self._control.lives.changes
 
-    def life_denied(self, life: RunnerLife) -> None:
+    def life_denied(self, life: RunnerIncarnation) -> None:
         """Note that the runner says it is not this life: it has ended, or is yet to come."""
         self._control.lives.deny(life)
 
@@ -236,7 +236,7 @@
         """Take the runner's account of itself."""
         return self._control.runner_spoke(now, account)
 
-    def runner_left(self, now: float, life: RunnerLife) -> list[Effect]:
+    def runner_left(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
         return self._control.runner_left(now, life)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/claims.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/claims.py
@@ -3,7 +3,7 @@
 from typing import final
 
 from paddleshunt_core.leased.orders import RunnerAccount
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
 MOST_CLAIMS = 32
 """Lives that the runner has not confirmed yet; a host sees some of them a day."""
@@ -14,9 +14,9 @@
     """By life, its newest account; it may say by then that the life is leaving."""
 
     def __init__(self) -> None:
-        self._accounts: dict[RunnerLife, RunnerAccount] = {}
+        self._accounts: dict[RunnerIncarnation, RunnerAccount] = {}
 
-    def __contains__(self, life: RunnerLife) -> bool:
+    def __contains__(self, life: RunnerIncarnation) -> bool:
         return life in self._accounts
 
     def keep(self, account: RunnerAccount) -> None:
@@ -27,7 +27,7 @@
         if len(self._accounts) > MOST_CLAIMS:
             del self._accounts[next(iter(self._accounts))]
 
-    def newest(self, life: RunnerLife) -> RunnerAccount | None:
+    def newest(self, life: RunnerIncarnation) -> RunnerAccount | None:
         """Return the newest account of a life."""
         return self._accounts.get(life)
 
@@ -35,7 +35,7 @@
         """Return the accounts that are kept."""
         return list(self._accounts.values())
 
-    def drop(self, life: RunnerLife) -> None:
+    def drop(self, life: RunnerIncarnation) -> None:
         """Forget a life."""
         self._accounts.pop(life, None)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -16,7 +16,7 @@
     StopRun,
 )
 from paddleshunt_core.leased.outcomes import JobOutcome
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import EntryAddress
 
 from paddleshunt_node.aio.httpserver import Request, Response
@@ -41,10 +41,10 @@
 class RunnerPort(Protocol):
     """The runner beside a target."""
 
-    def expect(self, life: RunnerLife | None) -> None:
+    def expect(self, life: RunnerIncarnation | None) -> None:
         """Mean another life of the runner with what follows than before; None for any."""
 
-    def rename(self, life: RunnerLife) -> None:
+    def rename(self, life: RunnerIncarnation) -> None:
         """Take a fuller name of the life that is meant."""
 
     def supersede(self) -> None:
@@ -56,7 +56,7 @@
     async def stop(self, order: StopRun) -> bool:
         """Order a stop; return whether the runner confirmed it."""
 
-    async def lives(self, life: RunnerLife) -> bool | None:
+    async def lives(self, life: RunnerIncarnation) -> bool | None:
         """Ask whether this life of the runner is the one there; None: that isn't said."""
 
     async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
@@ -112,7 +112,7 @@
 class RunnerEnds:
     """A runner's word that it ends now; an id alone may be of any of its lives."""
 
-    runner: RunnerLife
+    runner: RunnerIncarnation
 
 
 class RegistrationCodec(Protocol):
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -19,7 +19,7 @@
 )
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_core.leased.runnercontrol import Effect
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Entries, EntryAddress, EntryChanges, Frame, Hello
 from paddleshunt_core.leased.worker import Worker
 
@@ -113,7 +113,7 @@
         self._said: dict[PeerLink, float] = {}
         self._claims = Claims()
         """Accounts of other lives than the known one."""
-        self._life_meant: RunnerLife | None = None
+        self._life_meant: RunnerIncarnation | None = None
         """The life that orders and looks are meant for."""
         self._changes = 0
         """How often that has become another life, or none."""
--- a/testing/core/leased/test_accounts.py
+++ b/testing/core/leased/test_accounts.py
@@ -7,9 +7,11 @@
 from paddleshunt_core.leased.orders import RunnerAccount
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
-GOOD = RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8, 8), False, None, ("a", "r1"), 1)
+GOOD = RunnerAccount(
+    RunnerIncarnation("i-1"), "svc", "hall", Resources(8, 8), False, None, ("a", "r1"), 1
+)
 CONTRADICTIONS = [
     replace(GOOD, service="other", sequence=2),
     replace(GOOD, hall="other", sequence=2),
@@ -61,6 +63,6 @@
 
 
 def test_another_life_may_have_another_service(control: RunnerControl) -> None:
-    other = replace(CONTRADICTIONS[0], runner=RunnerLife("i-2"))
+    other = replace(CONTRADICTIONS[0], runner=RunnerIncarnation("i-2"))
     assert "heartbeat_contradicts" not in events(control, other)
     assert control.account == other
--- a/testing/core/leased/test_capacity.py
+++ b/testing/core/leased/test_capacity.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, StartAnswer, StartRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Assign, End, Ended, Frame, Hello, RunnerReport
 from paddleshunt_core.leased.worker import Worker
 
@@ -16,7 +16,9 @@
 
 
 def account(capacity: Resources, sequence: int) -> RunnerAccount:
-    return RunnerAccount(RunnerLife("i-1"), "svc", "hall", capacity, False, None, sequence=sequence)
+    return RunnerAccount(
+        RunnerIncarnation("i-1"), "svc", "hall", capacity, False, None, sequence=sequence
+    )
 
 
 @pytest.fixture
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -15,7 +15,7 @@
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import (
     Assign,
@@ -108,7 +108,7 @@
 
 
 def account(cold: float, runner: str = "i-1") -> RunnerAccount:
-    return RunnerAccount(RunnerLife(runner), "svc", "a", ROOM, False, None, cold=cold)
+    return RunnerAccount(RunnerIncarnation(runner), "svc", "a", ROOM, False, None, cold=cold)
 
 
 def worker(cold: float, overrun: float = 1.5) -> Worker:
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -12,7 +12,7 @@
     StartRun,
 )
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import (
     Assign,
     End,
@@ -37,7 +37,9 @@
 def worker() -> Worker:
     """A worker in session with an entry since 1.0, which has told all that it has to."""
     worker = Worker(TIMES)
-    account = RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
+    account = RunnerAccount(
+        RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
+    )
     worker.runner_spoke(0.9, account)
     worker.looked(0.95, LookAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import (
     Assign,
     End,
@@ -61,7 +61,9 @@
 def worker_in(hall: str) -> Worker:
     """Return a worker in session with the entry `e`."""
     worker = Worker(lease_times(Bounds()), hall)
-    account = RunnerAccount(RunnerLife("i-1"), "svc", hall, Resources(8000, 8000), False, None)
+    account = RunnerAccount(
+        RunnerIncarnation("i-1"), "svc", hall, Resources(8000, 8000), False, None
+    )
     worker.runner_spoke(0.9, account)
     worker.looked(0.95, LookAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -8,12 +8,12 @@
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunnerState
 
 ROOM = Resources(8000, 8000)
-FIRST = RunnerAccount(RunnerLife("i-1"), "svc", "hall", ROOM, False, None, sequence=5)
-NEXT = replace(FIRST, runner=RunnerLife("i-2"), sequence=1)
+FIRST = RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", ROOM, False, None, sequence=5)
+NEXT = replace(FIRST, runner=RunnerIncarnation("i-2"), sequence=1)
 
 
 @pytest.mark.parametrize(
@@ -139,7 +139,7 @@
 
 def born(start: int, sequence: int = 1) -> RunnerAccount:
     """Return an account of a life of `FIRST`'s id that tells its start."""
-    return replace(FIRST, runner=RunnerLife(FIRST.runner.id, start), sequence=sequence)
+    return replace(FIRST, runner=RunnerIncarnation(FIRST.runner.id, start), sequence=sequence)
 
 
 def known(start: int) -> RunnerControl:
@@ -164,7 +164,7 @@
 def test_the_lists_decide_which_life_of_an_id_is_there(start: int) -> None:
     found = known(5000)
     found.looked(2.1, LookAnswer(2.0, [], [], born=start))
-    assert found.lives.current == RunnerLife("i-1", start)
+    assert found.lives.current == RunnerIncarnation("i-1", start)
     assert found.account is None
     assert found.state() is RunnerState.DOWN
     assert found.lives.judge(born(5000, 10)) is Claim.LATE
@@ -186,13 +186,13 @@
     found = RunnerControl(lease_times(Bounds()))
     found.runner_spoke(1.0, born(6000))
     found.looked(1.1, LookAnswer(1.05, [], [], born=5000))
-    assert found.lives.current == RunnerLife("i-1", 5000)
+    assert found.lives.current == RunnerIncarnation("i-1", 5000)
     assert found.lives.judge(born(6000, 2)) is Claim.DOUBTFUL
 
 
 def test_an_id_that_has_left_serves_again_in_its_next_life() -> None:
     found = known(5000)
-    found.runner_left(2.0, RunnerLife("i-1", 5000))
+    found.runner_left(2.0, RunnerIncarnation("i-1", 5000))
     assert found.lives.judge(born(5000, 10)) is Claim.LATE
     assert found.lives.judge(born(6000)) is Claim.NEW
 
@@ -200,8 +200,8 @@
 def test_a_word_of_an_end_that_names_no_start_is_believed_until_the_runner_says_otherwise() -> None:
     """It may be the late word of an earlier life under the id: what runs must go on."""
     found = known(5000)
-    found.runner_left(2.0, RunnerLife("i-1"))
-    assert found.lives.current == RunnerLife("i-1", 5000)
+    found.runner_left(2.0, RunnerIncarnation("i-1"))
+    assert found.lives.current == RunnerIncarnation("i-1", 5000)
     assert found.state() is RunnerState.LEAVING
     found.runner_spoke(2.5, born(5000, 10))
     assert found.state() is RunnerState.READY
@@ -214,7 +214,7 @@
     found.looked(1.1, LookAnswer(1.05, [], []))
     assert found.lives.judge(born(6000)) is Claim.DOUBTFUL
     found.looked(2.1, LookAnswer(2.0, [], [], born=6000))
-    assert found.lives.current == RunnerLife("i-1", 6000)
+    assert found.lives.current == RunnerIncarnation("i-1", 6000)
     assert found.lives.judge(born(6000)) is Claim.CURRENT
 
 
@@ -226,7 +226,7 @@
     found.looked(1.1, LookAnswer(1.05, [], [], born=6000))
     assert found.account == FIRST
     found.runner_spoke(1.2, replace(FIRST, sequence=6))
-    assert found.lives.current == RunnerLife("i-1", 6000)
+    assert found.lives.current == RunnerIncarnation("i-1", 6000)
     assert found.state() is RunnerState.READY
     found.looked(2.1, LookAnswer(2.0, [], [], born=5000))
     assert found.state() is RunnerState.DOWN
--- a/testing/core/leased/test_late_reads.py
+++ b/testing/core/leased/test_late_reads.py
@@ -14,7 +14,7 @@
 )
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.wire import Assign, Frame, Health, Hello, RunId, TaskId
 from paddleshunt_core.leased.worker import Worker
@@ -27,7 +27,8 @@
     """Return a worker on which `RUNS` are known to be at work since 1.0."""
     worker = Worker(lease_times(Bounds()))
     worker.runner_spoke(
-        0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
+        0.9,
+        RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
     worker.looked(0.95, LookAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
@@ -79,7 +80,8 @@
 ) -> None:
     control = RunnerControl(lease_times(Bounds()))
     control.runner_spoke(
-        0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
+        0.9,
+        RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
     control.looked(0.95, LookAnswer(0.92, [], []))
     control.health.suspect(1.0)
--- a/testing/core/leased/test_leases.py
+++ b/testing/core/leased/test_leases.py
@@ -13,7 +13,7 @@
     StopRun,
 )
 from paddleshunt_core.leased.resources import NOTHING, Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import (
     Assign,
     End,
@@ -56,7 +56,9 @@
 def worker() -> Worker:
     """A worker in session with two entries since 1.0, whose runner has room for eight tasks."""
     worker = Worker(TIMES)
-    account = RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
+    account = RunnerAccount(
+        RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
+    )
     worker.runner_spoke(0.9, account)
     worker.looked(0.95, LookAnswer(0.92, [], []))
     for entry in ("a", "b"):
--- a/testing/core/leased/test_losses.py
+++ b/testing/core/leased/test_losses.py
@@ -3,7 +3,7 @@
 import pytest
 from msgspec.structs import replace
 from paddleshunt_core.leased.losses import KEEP_SECONDS, MOST_REMEMBERED, MOST_RETURNED, LossBook
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import LossId, RunnerLost, TaskId
 
 TASK = TaskId("job", 0, 0)
@@ -23,14 +23,14 @@
 
 def test_the_runners_lost_under_a_task_are_named(book: LossBook) -> None:
     book.learn(2.0, lost("i-2", TASK))
-    assert book.runners(TASK) == [RunnerLife("i-1"), RunnerLife("i-2")]
-    assert book.runners(OTHER) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-1"), RunnerIncarnation("i-2")]
+    assert book.runners(OTHER) == [RunnerIncarnation("i-1")]
     assert book.runners(TaskId("job", 0, 1)) == []
 
 
 def test_a_loss_that_is_told_again_counts_once(book: LossBook) -> None:
     assert not book.learn(1.1, lost("i-1", TASK, OTHER))
-    assert book.runners(TASK) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-1")]
 
 
 @pytest.mark.parametrize("told_first", ["loss", "return"])
@@ -47,14 +47,14 @@
 def test_a_runner_that_answered_again_may_be_lost_later(book: LossBook) -> None:
     book.returned(1.1, LossId("i-1", 1000))
     assert book.learn(3.0, lost("i-1", TASK, silent_ms=3000))
-    assert book.runners(TASK) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-1")]
 
 
 def test_a_loss_is_forgotten_after_a_while(book: LossBook) -> None:
     book.learn(2.0, lost("i-2", TASK))
     known = replace(lost("i-2", TASK), ago_ms=round((KEEP_SECONDS - 1.0) * 1000))
     assert book.all(1.0 + KEEP_SECONDS) == [known]
-    assert book.runners(TASK) == [RunnerLife("i-2")]
+    assert book.runners(TASK) == [RunnerIncarnation("i-2")]
 
 
 def test_what_is_handed_on_says_for_how_long_it_has_been_known(book: LossBook) -> None:
@@ -84,9 +84,9 @@
     book = LossBook()
     assert book.ended(TASK) == []
     assert all(book.learn(1.0, word) for word in told)
-    assert book.ended(TASK) == [RunnerLife("i-1")]
+    assert book.ended(TASK) == [RunnerIncarnation("i-1")]
     assert book.ended(OTHER) == []
-    assert book.runners(TASK) == book.runners(OTHER) == [RunnerLife("i-1")]
+    assert book.runners(TASK) == book.runners(OTHER) == [RunnerIncarnation("i-1")]
 
 
 def test_an_older_word_does_not_undo_what_is_known() -> None:
@@ -94,7 +94,7 @@
     book.learn(1.0, ENDED)
     assert not book.learn(1.1, lost("i-1", TASK, OTHER))
     assert not book.learn(1.1, ENDED)
-    assert book.ended(TASK) == [RunnerLife("i-1")]
+    assert book.ended(TASK) == [RunnerIncarnation("i-1")]
 
 
 def test_an_end_is_remembered_as_long_as_the_loss_before_it(book: LossBook) -> None:
@@ -106,7 +106,7 @@
 def test_a_life_that_falls_silent_again_has_answered_since_its_earlier_loss(book: LossBook) -> None:
     assert book.learn(2.0, lost("i-1", OTHER, silent_ms=1900))
     assert book.runners(TASK) == []
-    assert book.runners(OTHER) == [RunnerLife("i-1")]
+    assert book.runners(OTHER) == [RunnerIncarnation("i-1")]
     assert not book.learn(2.1, lost("i-1", TASK, OTHER))
     assert book.runners(TASK) == []
 
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -17,7 +17,7 @@
     SILENT_RUNNERS,
     Retries,
 )
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import LossId, LossNews, RunnerLost, RunnerReturned, TaskId
 
 LIVES = 4
@@ -25,7 +25,7 @@
 QUEUE = Queue("q", "host", "/q/", "svc")
 EXAMPLES = 500
 
-State = dict[TaskId, tuple[set[RunnerLife], set[RunnerLife]]]
+State = dict[TaskId, tuple[set[RunnerIncarnation], set[RunnerIncarnation]]]
 """Of each task the lives that count as lost under it, and those known to have ended so."""
 
 
@@ -33,7 +33,7 @@
 class Life:
     """What became of one life: when it fell silent, with what at work, and how that ended."""
 
-    name: RunnerLife
+    name: RunnerIncarnation
     silences: list[tuple[int, list[TaskId]]]
     """It answered again after each but the last."""
     answered: bool
@@ -55,9 +55,9 @@
         return said
 
 
-def named(number: int) -> RunnerLife:
+def named(number: int) -> RunnerIncarnation:
     """Return the name of a life: each second one bears an id again, with a clock set back."""
-    return RunnerLife(f"i-{number // 2}", 1000 - number)
+    return RunnerIncarnation(f"i-{number // 2}", 1000 - number)
 
 
 @st.composite
@@ -96,7 +96,7 @@
 def expected(words: Iterable[LossNews]) -> State:
     """Work out what counts: of each life its latest silence, if no answer after it was told of."""
     state: State = {task: (set(), set()) for task in TASKS}
-    by_life: dict[RunnerLife, list[LossNews]] = {}
+    by_life: dict[RunnerIncarnation, list[LossNews]] = {}
     for word in words:
         by_life.setdefault(word.loss.life, []).append(word)
     for life, about in by_life.items():
--- a/testing/core/leased/test_lost_looks.py
+++ b/testing/core/leased/test_lost_looks.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, StartAnswer, StartRun
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.wire import End, RunId, RunnerReturned, TaskId
 from paddleshunt_core.leased.worker import Worker
@@ -65,7 +65,9 @@
 
 
 def account(sequence: int = 1, *, leaving: bool = False) -> RunnerAccount:
-    return RunnerAccount(RunnerLife("i-1"), "svc", "hall", ROOM, leaving, None, sequence=sequence)
+    return RunnerAccount(
+        RunnerIncarnation("i-1"), "svc", "hall", ROOM, leaving, None, sequence=sequence
+    )
 
 
 def run_of(task: TaskId) -> Run:
@@ -106,5 +108,5 @@
     control.look_failed(0.35)
     if given_up:
         control.look_failed(5.0)
-    control.runner_left(5.1, RunnerLife("i-1"))
+    control.runner_left(5.1, RunnerIncarnation("i-1"))
     assert isinstance(control.losses.take_news()[-1], RunnerReturned)
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.leased.offers import OFFER_SECONDS
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
 from paddleshunt_core.leased.resources import NOTHING, Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, RunnerReport, Want
 from paddleshunt_core.leased.worker import Worker
 
@@ -27,7 +27,7 @@
         self.now = 1.0
         self.worker = Worker(TIMES)
         room = Resources(6 * TASK.processor, 1000)
-        account = RunnerAccount(RunnerLife("i-1"), "svc", "hall", room, False, None)
+        account = RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", room, False, None)
         self.worker.runner_spoke(0.9, account)
         self.worker.looked(0.95, LookAnswer(0.92, [], []))
         self.numbers = dict.fromkeys(ENTRIES, 1)
--- a/testing/core/leased/test_sight.py
+++ b/testing/core/leased/test_sight.py
@@ -11,7 +11,7 @@
     StartRun,
 )
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Assign, Frame, Hello, RunId, TaskId
 from paddleshunt_core.leased.worker import Worker
 
@@ -34,7 +34,7 @@
     """A worker in session with an entry since 1.0, whose runner was looked at."""
     worker = Worker(TIMES)
     worker.runner_spoke(
-        0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", NEED + NEED, False, None)
+        0.9, RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", NEED + NEED, False, None)
     )
     worker.looked(0.95, LookAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
--- a/testing/council/test_late_heartbeats.py
+++ b/testing/council/test_late_heartbeats.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.incarnations import Claim
 from paddleshunt_core.leased.orders import RunnerAccount
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
 KEY = "5c0e7a21d94b36f8"
 HEARTBEAT = "/paddleshunt/Instances.Heartbeat/"
@@ -22,7 +22,7 @@
 
 def of_next(sequence: int) -> RunnerAccount:
     return RunnerAccount(
-        RunnerLife("i-2"), "svc", "hall", Resources(), False, None, sequence=sequence
+        RunnerIncarnation("i-2"), "svc", "hall", Resources(), False, None, sequence=sequence
     )
 
 
--- a/testing/council/test_lives.py
+++ b/testing/council/test_lives.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_council.runner import Runner
 from standins import RunnerStandIn
 
@@ -21,7 +21,7 @@
     async def scene() -> None:
         standin = Failing()
         await standin.start()
-        assert await Runner(standin.address).lives(RunnerLife("i-0")) is not True
+        assert await Runner(standin.address).lives(RunnerIncarnation("i-0")) is not True
 
     asyncio.run(asyncio.wait_for(scene(), 20))
 
@@ -29,23 +29,23 @@
 @pytest.mark.parametrize(
     ("asked", "answered", "expected"),
     [
-        (RunnerLife("i-1", 17), 17, True),
-        (RunnerLife("i-1", 17), 16, False),
-        (RunnerLife("i-1", 17), None, None),
-        (RunnerLife("i-1"), 17, True),
-        (RunnerLife("i-2", 17), 17, False),
+        (RunnerIncarnation("i-1", 17), 17, True),
+        (RunnerIncarnation("i-1", 17), 16, False),
+        (RunnerIncarnation("i-1", 17), None, None),
+        (RunnerIncarnation("i-1"), 17, True),
+        (RunnerIncarnation("i-2", 17), 17, False),
     ],
     ids=["same", "other_start", "start_not_said", "start_not_asked", "other_id"],
 )
 def test_the_runner_says_which_life_of_an_id_it_is(
-    asked: RunnerLife, answered: int | None, expected: bool | None
+    asked: RunnerIncarnation, answered: int | None, expected: bool | None
 ) -> None:
     async def scene() -> None:
         standin = RunnerStandIn()
         standin.born = answered
         await standin.start()
         runner = Runner(standin.address)
-        runner.expect(RunnerLife("i-1", 5))
+        runner.expect(RunnerIncarnation("i-1", 5))
         assert await runner.lives(asked) is expected
 
     asyncio.run(asyncio.wait_for(scene(), 20))
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.orders import RunnerAccount
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
 from paddleshunt_node.aio.httpserver import Request, Response
 from paddleshunt_node.aio.ports import RunnerEnds
@@ -24,7 +24,7 @@
 
 def test_a_heartbeat_is_an_account() -> None:
     assert read("/paddleshunt/Instances.Heartbeat/i-7", BEAT) == RunnerAccount(
-        RunnerLife("i-7"),
+        RunnerIncarnation("i-7"),
         "s",
         "hall",
         Resources(16000, 32768, 1),
@@ -42,7 +42,7 @@
 )
 def test_a_runner_says_that_it_ends(body: bytes, born: int) -> None:
     ends = read("/paddleshunt/Instances.Deregister/i-7", body)
-    assert ends == RunnerEnds(RunnerLife("i-7", born))
+    assert ends == RunnerEnds(RunnerIncarnation("i-7", born))
 
 
 ODD_STARTS = [b"null", b'"17"', b"1.5", b"-1", b"true", b"[17]", b"9" * 30]
@@ -60,7 +60,7 @@
 def test_a_heartbeat_names_its_life() -> None:
     account = read(HEARTBEAT + "i-7", beat(born=17))
     assert isinstance(account, RunnerAccount)
-    assert account.runner == RunnerLife("i-7", 17)
+    assert account.runner == RunnerIncarnation("i-7", 17)
 
 
 @pytest.mark.parametrize(
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -17,7 +17,7 @@
     StopRun,
 )
 from paddleshunt_core.leased.refusals import Refusal, Word
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunId, TaskId
 from paddleshunt_council.runner import Runner
 from paddleshunt_node.aio import clock
@@ -127,7 +127,7 @@
 
 def test_another_life_is_told_apart() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        runner.expect(RunnerLife("i-1"))
+        runner.expect(RunnerIncarnation("i-1"))
         assert isinstance(await runner.look(FIRST_LOOK), LookAnswer)
         standin.life = "i-2"
         assert isinstance(await runner.look(FIRST_LOOK), OtherLife)
@@ -139,7 +139,7 @@
 def test_a_new_life_has_a_clock_of_its_own() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         await runner.look(FIRST_LOOK)
-        runner.expect(RunnerLife("i-2"))
+        runner.expect(RunnerIncarnation("i-2"))
         assert await runner.start(order(), always) is StartAnswer.NOT_SENT
 
     play(scene)
@@ -153,7 +153,7 @@
         lives = [("i-1", 20), ("i-1", 10), ("i-2", 30), ("i-1", 40)]
         for name, born in lives:
             standin.life, standin.born = name, born
-            runner.expect(RunnerLife(name, born))
+            runner.expect(RunnerIncarnation(name, born))
             await runner.look(FIRST_LOOK)
             await runner.look(FIRST_LOOK)
             tokens.append(standin.calls[-1][1]["fencing_token"])
@@ -166,7 +166,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         tokens = []
         for born in (0, 20):
-            runner.expect(RunnerLife("i-1", born))
+            runner.expect(RunnerIncarnation("i-1", born))
             await runner.look(FIRST_LOOK)
             await runner.look(FIRST_LOOK)
             tokens.append(standin.calls[-1][1]["fencing_token"])
@@ -177,9 +177,9 @@
 
 def test_a_life_that_tells_its_start_later_is_the_same() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        runner.expect(RunnerLife("i-1"))
+        runner.expect(RunnerIncarnation("i-1"))
         await runner.look(FIRST_LOOK)
-        runner.rename(RunnerLife("i-1", 20))
+        runner.rename(RunnerIncarnation("i-1", 20))
         assert await runner.start(order(), always) is StartAnswer.STARTED
         assert standin.calls[-1][1]["fencing_token"] == 5000
 
@@ -202,7 +202,7 @@
         standin.silent = silent
         look = asyncio.ensure_future(runner.look(FIRST_LOOK))
         await asyncio.sleep(0)
-        runner.expect(RunnerLife("i-1"))
+        runner.expect(RunnerIncarnation("i-1"))
         assert await look == Superseded()
 
     play(scene)
@@ -450,7 +450,7 @@
         await standin.start()
         refused: list[Refusal] = []
         runner = Runner(standin.address, refused.append)
-        runner.expect(RunnerLife("i-1"))
+        runner.expect(RunnerIncarnation("i-1"))
         assert await runner.look(FIRST_LOOK) is None
         assert {(one.word, one.sender) for one in refused} == {(Word.RUNNER_ANSWER, "i-1")}
 
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
 from paddleshunt_core.leased.resources import NOTHING
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Frame, Hello
 from paddleshunt_core.leased.worker import Worker
 from paddleshunt_node.aio.framing import PeerLink
@@ -111,7 +111,9 @@
     """They often fall silent together; heartbeats of idle sessions are far apart."""
     times = lease_times(Bounds())
     worker = Worker(times)
-    worker.runner_spoke(0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", NOTHING, False, None))
+    worker.runner_spoke(
+        0.9, RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", NOTHING, False, None)
+    )
     worker.looked(0.95, LookAnswer(0.92, [], []))
     for entry in ("a", "b"):
         worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
--- a/testing/council/test_standstill.py
+++ b/testing/council/test_standstill.py
@@ -6,7 +6,7 @@
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
 
 BOUNDS = Bounds()
@@ -26,10 +26,10 @@
         self.orders: list[StartRun] = []
         self.answers: list[StartAnswer] = []
 
-    def expect(self, life: RunnerLife | None) -> None:
+    def expect(self, life: RunnerIncarnation | None) -> None:
         self._port.expect(life)
 
-    def rename(self, life: RunnerLife) -> None:
+    def rename(self, life: RunnerIncarnation) -> None:
         self._port.rename(life)
 
     def supersede(self) -> None:
--- a/testing/council/test_withdrawn.py
+++ b/testing/council/test_withdrawn.py
@@ -11,7 +11,7 @@
 import pytest
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_node.aio.httpclient import Answer
 from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
 
@@ -29,10 +29,10 @@
         self.waiting = 0
         self.opened = asyncio.Event()
 
-    def expect(self, life: RunnerLife | None) -> None:
+    def expect(self, life: RunnerIncarnation | None) -> None:
         self._port.expect(life)
 
-    def rename(self, life: RunnerLife) -> None:
+    def rename(self, life: RunnerIncarnation) -> None:
         self._port.rename(life)
 
     def supersede(self) -> None:
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -25,7 +25,7 @@
 )
 from paddleshunt_core.leased.outcomes import Failed, HandOn, JobOutcome
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Frame, Hello, SpeedNews, TaskId
 from paddleshunt_core.leased.worker import Worker
 
@@ -64,7 +64,7 @@
 class Call:
     """What a target's call bears: the life that it means, none for any, and its token."""
 
-    life: RunnerLife | None
+    life: RunnerIncarnation | None
     token: int
 
 
@@ -110,7 +110,7 @@
         self.events: list[tuple[float, str, str]] = []
         self._late_orders: list[tuple[float, str, Call, StartRun]] = []
         self._calls = dict.fromkeys(self.targets, Call(None, 1))
-        self._meant: dict[tuple[str, str], RunnerLife] = {}
+        self._meant: dict[tuple[str, str], RunnerIncarnation] = {}
         """The last life that a target meant by an id; the token rises when it returns."""
         self._requests: dict[str, JobRequest] = {}
         self._queues: dict[str, Queue] = {}
@@ -402,7 +402,7 @@
         call = self._call(name)
         if not runner.up or runner.mute:
             self._act_target(name, worker.look_failed(self.now))
-        elif call.life is not None and not call.life.shares_id(runner.named(name)):
+        elif call.life is not None and not call.life.has_same_id(runner.named(name)):
             self._act_target(name, worker.look_failed(self.now, other_life=True))
         elif not runner.hears(call.token):
             self._act_target(name, worker.look_failed(self.now))
@@ -416,7 +416,7 @@
         life, last = self.workers[name].life, self._calls[name]
         if life != last.life:
             before = None if life is None else self._meant.get((name, life.id))
-            returned = life is not None and before is not None and not life.agrees(before)
+            returned = life is not None and before is not None and not life.may_be_same(before)
             self._calls[name] = Call(life, last.token + returned)
             if life is not None:
                 self._meant[name, life.id] = life
@@ -435,7 +435,7 @@
     def _start(self, name: str, call: Call, order: StartRun) -> StartAnswer:
         """Let a runner carry an order out that was meant so."""
         runner = self.runners[name]
-        if call.life is not None and not call.life.shares_id(runner.named(name)):
+        if call.life is not None and not call.life.has_same_id(runner.named(name)):
             return StartAnswer.OTHER_LIFE
         meant = replace(order, until=self._until(name, call, order.until))
         return runner.start(self.now, meant, call.token)
--- a/testing/leasedrunner.py
+++ b/testing/leasedrunner.py
@@ -12,7 +12,7 @@
     StartRun,
 )
 from paddleshunt_core.leased.resources import NOTHING, Resources
-from paddleshunt_core.leased.runnerlife import RunnerLife
+from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunId, TaskId
 
 FIRST_BORN = 1_764_000_000_000
@@ -144,9 +144,9 @@
         self.born += later_ms if self.born else 0
         self.crashed_at = None
 
-    def named(self, name: str) -> RunnerLife:
+    def named(self, name: str) -> RunnerIncarnation:
         """Return what the runner of a target says it is."""
-        return RunnerLife(f"{name}-{self.id_number}", self.born)
+        return RunnerIncarnation(f"{name}-{self.id_number}", self.born)
 
     def hears(self, token: int) -> bool:
         """Take note of a call's token; return whether the call is in force."""
