--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
@@ -8,7 +8,7 @@
 from typing import final
 
 from paddleshunt_core.leased.bounds import LeaseTimes
-from paddleshunt_core.leased.orders import LookAnswer
+from paddleshunt_core.leased.orders import PollAnswer
 from paddleshunt_core.leased.runnerlease import RunnerLease
 from paddleshunt_core.leased.wire import RunId
 
@@ -41,7 +41,7 @@
         self._met = now
         self._paused = 0.0
 
-    def is_met_by(self, answer: LookAnswer) -> bool:
+    def is_met_by(self, answer: PollAnswer) -> bool:
         """Whether an answer is to a look that was sent since this life was met."""
         return self._met is None or answer.sent >= self._met
 
@@ -49,7 +49,7 @@
         """Note that the runner's clock may not have moved for so long."""
         self._paused += seconds
 
-    def read(self, answer: LookAnswer, ordered: Container[RunId]) -> None:
+    def read(self, answer: PollAnswer, ordered: Container[RunId]) -> None:
         """Take the runner's lists; `ordered` are the runs of this life of the target."""
         ended = {row.run for row in answer.finished}
         listed = {row.run for row in answer.running}
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
@@ -117,7 +117,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Look:
+class Poll:
     """A look to send: acknowledge ends up to `last_seen`, and wait for one up to `wait` s.
 
     `until` is when the lease that it renews ends, in steady seconds of this process; None to leave
@@ -131,8 +131,8 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class LookAnswer:
-    """The runner's answer to a `Look` that was sent at `sent` (own steady clock, s).
+class PollAnswer:
+    """The runner's answer to a `Poll` that was sent at `sent` (own steady clock, s).
 
     `partial`: some of it could not be read, so a run that it doesn't show may be there as well.
     `listed` is the highest number of an end that it lists, also of one that is no run of ours.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -12,9 +12,9 @@
 from paddleshunt_core.leased.incarnations import Claim, Incarnations
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    Look,
-    LookAnswer,
     Order,
+    Poll,
+    PollAnswer,
     RunEnd,
     RunnerAccount,
     StartAnswer,
@@ -214,22 +214,22 @@
         self.lives.note_ended(life)
         return self._runner_replaced(now, None)
 
-    def next_look(self, now: float, *, renew: bool) -> Look:
+    def next_poll(self, now: float, *, renew: bool) -> Poll:
         """Return the look to send now; it counts as sent, and renews if an entry's session lives.
 
         After one without an answer, the next only looks, at once: a runner that doesn't answer
         must not have its lease renewed for ever, or its runs could never be given up.
         """
-        self._waited = 0.0 if self._failed_looks else self._look_wait()
+        self._waited = 0.0 if self._failed_looks else self._poll_wait()
         if self._failed_looks:
-            return Look(self._last_seen, None, 0.0)
+            return Poll(self._last_seen, None, 0.0)
         until = self._lease.next_end(now, self.table) if renew else now
         if until <= now:
-            return Look(self._last_seen, None, self._waited)
+            return Poll(self._last_seen, None, self._waited)
         self._lease.grant(until)
-        return Look(self._last_seen, until, self._waited)
+        return Poll(self._last_seen, until, self._waited)
 
-    def _look_wait(self) -> float:
+    def _poll_wait(self) -> float:
         # The runner's account changes whom a look is meant for: a long one under way is wasted.
         if not self.clean or self.account is None:
             return 0.0
@@ -239,7 +239,7 @@
             return self._times.hold * IDLE_LOOK_SHARE
         return min(LOOK_SECONDS, self._times.hold * LOOK_SHARE)
 
-    def looked(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
         """Take the runner's lists of what runs and what has ended."""
         effects = self._reached()
         life = self._life_of(answer)
@@ -256,12 +256,12 @@
         self._failed_looks = 0
         return [note("runner_reachable")] if was_unreachable else []
 
-    def _life_of(self, answer: LookAnswer) -> RunnerIncarnation | None:
+    def _life_of(self, answer: PollAnswer) -> RunnerIncarnation | None:
         """Return the life that gave an answer, as far as it says; None if none was meant."""
         current = self.lives.current
         return None if current is None else RunnerIncarnation(current.id, answer.born)
 
-    def _read_lists(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def _read_lists(self, now: float, answer: PollAnswer) -> list[Effect]:
         effects: list[Effect] = []
         self.losses.answered()
         self._last_seen = max(self._last_seen, answer.listed)
@@ -283,7 +283,7 @@
                 effects += self._look_for(now, run, answer)
         return effects + self._leave_hung(now, shown)
 
-    def _look_for(self, now: float, run: Run, answer: LookAnswer) -> list[Effect]:
+    def _look_for(self, now: float, run: Run, answer: PollAnswer) -> list[Effect]:
         """Decide on a run that a full list doesn't show."""
         if run.doubted is not None and run.doubted < answer.sent:
             return [*stop(now, run, End.NOT_STARTED, "start_unanswered")]
@@ -292,7 +292,7 @@
         return []
 
     def _look_for_outlived(
-        self, now: float, run: Run, answer: LookAnswer, *, listed: bool
+        self, now: float, run: Run, answer: PollAnswer, *, listed: bool
     ) -> list[Effect]:
         """Decide on a run that was ordered of the life before; an order may be carried out late.
 
@@ -309,7 +309,7 @@
             return []
         return self._ended(run, End.LOST, "runner_replaced")
 
-    def look_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
         """Take a renewal that got no answer, or the answer that another id runs there."""
         if other_life:
             return self._runner_replaced(now, None, answered=self.clean)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -15,7 +15,7 @@
 from paddleshunt_core.leased.incarnations import Claim
 from paddleshunt_core.leased.losses import LossBook
 from paddleshunt_core.leased.offers import Offers
-from paddleshunt_core.leased.orders import Look, LookAnswer, RunnerAccount, StartAnswer
+from paddleshunt_core.leased.orders import Poll, PollAnswer, RunnerAccount, StartAnswer
 from paddleshunt_core.leased.reporting import Reporter
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -240,20 +240,20 @@
         """Take the runner's word that it ends now."""
         return self._control.runner_left(now, life)
 
-    def next_look(self, now: float) -> Look:
+    def next_poll(self, now: float) -> Poll:
         """Return the look to send now; it counts as sent.
 
         It renews the runner's lease while something is at work and a session's lease is in force.
         """
-        return self._control.next_look(now, renew=self._any_needs_lease(now))
+        return self._control.next_poll(now, renew=self._any_needs_lease(now))
 
-    def looked(self, now: float, answer: LookAnswer) -> list[Effect]:
+    def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
         """Take the runner's lists of what runs and what has ended."""
-        return self._control.looked(now, answer)
+        return self._control.poll_answered(now, answer)
 
-    def look_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
         """Take a renewal that got no answer, or the answer that another life runs there."""
-        return self._control.look_failed(now, other_life=other_life)
+        return self._control.poll_failed(now, other_life=other_life)
 
     def may_send(self, now: float, id_: RunId, entry: str) -> bool:
         """Whether an order to start may leave now; ask right before it is sent.
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -8,8 +8,8 @@
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.jobs import JobRequest
 from paddleshunt_core.leased.orders import (
-    Look,
-    LookAnswer,
+    Poll,
+    PollAnswer,
     RunnerAccount,
     StartAnswer,
     StartRun,
@@ -59,7 +59,7 @@
     async def lives(self, life: RunnerIncarnation) -> bool | None:
         """Ask whether this life of the runner is the one there; None: that isn't said."""
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
+    async def look(self, look: Poll) -> PollAnswer | OtherLife | Superseded | None:
         """Renew the lease and look at what runs; None: no answer."""
 
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.leased.incarnations import Claim
 from paddleshunt_core.leased.linkpressure import PressureLevel
 from paddleshunt_core.leased.orders import (
-    LookAnswer,
+    PollAnswer,
     RunnerAccount,
     StartRun,
     StopRun,
@@ -272,13 +272,13 @@
     async def _look_for_ever(self) -> None:
         failures = 0
         while True:
-            look = self._worker.next_look(self._now())
+            look = self._worker.next_poll(self._now())
             answer = await self._runner.look(look)
             now = self._now()
-            if isinstance(answer, LookAnswer):
+            if isinstance(answer, PollAnswer):
                 failures = 0
                 self._note_first_look()
-                self._act(self._worker.looked(now, answer))
+                self._act(self._worker.poll_answered(now, answer))
                 # The runner doesn't wait either while an end that can't be read is listed, which
                 # may be for good.
                 if answer.partial:
@@ -288,7 +288,7 @@
                 continue
             if isinstance(answer, Superseded):
                 continue
-            self._act(self._worker.look_failed(now, other_life=isinstance(answer, OtherLife)))
+            self._act(self._worker.poll_failed(now, other_life=isinstance(answer, OtherLife)))
             # The first failure may be one lost answer, and the lease is running: look at once.
             failures += 1
             if failures > 1:
--- a/testing/core/leased/test_capacity.py
+++ b/testing/core/leased/test_capacity.py
@@ -3,7 +3,7 @@
 import pytest
 from leasedfleet import CAPACITY, Fleet
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, StartAnswer, StartRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount, StartAnswer, StartRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -26,7 +26,7 @@
     """A worker in session with an entry since 1.0, whose runner has room for four tasks."""
     worker = Worker(lease_times(Bounds()))
     worker.runner_spoke(0.9, account(FULL, 1))
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.health import SICK_SECONDS, SLOW, RunnerHealth
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, new_job
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, RunningRun, StopRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount, RunningRun, StopRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.resources import Resources
@@ -115,7 +115,7 @@
     """Return a worker whose runner was cold for `cold` s yet at 0.9, in session with `e`."""
     made = Worker(lease_times(Bounds()), "a", overrun)
     made.runner_spoke(0.9, account(cold))
-    made.looked(0.95, LookAnswer(0.92, [], []))
+    made.poll_answered(0.95, PollAnswer(0.92, [], []))
     made.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return made
 
@@ -156,7 +156,7 @@
     made = worker(2.0)
     told(made, 1.0)
     made.runner_spoke(1.4, account(cold, "i-2"))
-    made.looked(1.45, LookAnswer(1.42, [], []))
+    made.poll_answered(1.45, PollAnswer(1.42, [], []))
     assert told(made, 1.5)[-1:] == [max(0, cold_ms - 100) for cold_ms in expected]
 
 
@@ -216,7 +216,7 @@
     at = 1.01
     while at < 1.25:
         rows = [RunningRun(run, 5) for run in runs]
-        effects += made.looked(at + 0.001, LookAnswer(at, rows, []))
+        effects += made.poll_answered(at + 0.001, PollAnswer(at, rows, []))
         at += 0.05
     assert any(isinstance(effect, StopRun) for effect in effects) is stopped
 
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -5,7 +5,7 @@
 from paddleshunt_core.leased.entrylink import MAX_PENDING
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    LookAnswer,
+    PollAnswer,
     RunEnd,
     RunnerAccount,
     StartAnswer,
@@ -41,7 +41,7 @@
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     worker.prepare_frames(1.0)
     worker.next_frame(1.0, "e", beat=True)
@@ -141,7 +141,7 @@
     worker.heard(1.1, "e", frame(1, 1.1, ASSIGN))
     worker.start_answered(1.101, RUN, StartAnswer.STARTED)
     assert worker.held_names() == {"e"}
-    worker.looked(1.2, LookAnswer(1.19, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
+    worker.poll_answered(1.2, PollAnswer(1.19, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
     assert any(isinstance(body, Ended) for body in told(worker, 1.2))
     assert worker.held_names() == {"e"}
     worker.heard(1.202, "e", Frame(2, 99, 0, 1200, []))
@@ -163,9 +163,9 @@
 
 
 def test_the_runners_lease_is_renewed_only_while_something_is_at_work(worker: Worker) -> None:
-    assert worker.next_look(1.1).until is None
+    assert worker.next_poll(1.1).until is None
     worker.heard(1.1, "e", frame(1, 1.1, ASSIGN))
-    assert worker.next_look(1.11).until is not None
+    assert worker.next_poll(1.11).until is not None
 
 
 def test_a_session_that_goes_on_over_a_new_connection_is_not_about_to_end(worker: Worker) -> None:
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -6,7 +6,7 @@
 from leasedfleet import Fleet
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, StartAnswer, StartRun, StopRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -65,7 +65,7 @@
         RunnerIncarnation("i-1"), "svc", hall, Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -5,7 +5,7 @@
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.incarnations import MOST_SKIPPED, Claim, Incarnations
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
+from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -101,8 +101,8 @@
     found = RunnerControl(lease_times(Bounds()))
     found.runner_spoke(1.0, FIRST)
     if looked_at:
-        found.looked(1.1, LookAnswer(1.05, [], []))
-    found.look_failed(1.2, other_life=True)
+        found.poll_answered(1.1, PollAnswer(1.05, [], []))
+    found.poll_failed(1.2, other_life=True)
     assert found.lives.judge(replace(FIRST, sequence=6)) is expected
 
 
@@ -146,7 +146,7 @@
     """Return the control of a runner whose life has said 9 and has answered a look."""
     found = RunnerControl(lease_times(Bounds()))
     found.runner_spoke(1.0, born(start, 9))
-    found.looked(1.1, LookAnswer(1.05, [], [], born=start))
+    found.poll_answered(1.1, PollAnswer(1.05, [], [], born=start))
     return found
 
 
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
 def test_the_lists_decide_which_life_of_an_id_is_there(start: int) -> None:
     found = known(5000)
-    found.looked(2.1, LookAnswer(2.0, [], [], born=start))
+    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=start))
     assert found.lives.current == RunnerIncarnation("i-1", start)
     assert found.account is None
     assert found.state() is RunnerState.DOWN
@@ -175,17 +175,17 @@
 
 def test_ends_are_acknowledged_anew_in_each_life() -> None:
     found = known(5000)
-    found.looked(1.3, LookAnswer(1.2, [], [], listed=57, born=5000))
-    assert found.next_look(1.4, renew=False).last_seen == 57
-    found.looked(2.1, LookAnswer(2.0, [], [], born=6000))
-    assert found.next_look(2.2, renew=False).last_seen == 0
+    found.poll_answered(1.3, PollAnswer(1.2, [], [], listed=57, born=5000))
+    assert found.next_poll(1.4, renew=False).last_seen == 57
+    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
+    assert found.next_poll(2.2, renew=False).last_seen == 0
 
 
 def test_a_life_heard_of_before_the_one_that_answers_may_be_yet_to_come() -> None:
     """The heartbeat of the next life may come before the last one's answer to a look is read."""
     found = RunnerControl(lease_times(Bounds()))
     found.runner_spoke(1.0, born(6000))
-    found.looked(1.1, LookAnswer(1.05, [], [], born=5000))
+    found.poll_answered(1.1, PollAnswer(1.05, [], [], born=5000))
     assert found.lives.current == RunnerIncarnation("i-1", 5000)
     assert found.lives.judge(born(6000, 2)) is Claim.DOUBTFUL
 
@@ -211,9 +211,9 @@
     """The runner's next software tells it."""
     found = RunnerControl(lease_times(Bounds()))
     found.runner_spoke(1.0, FIRST)
-    found.looked(1.1, LookAnswer(1.05, [], []))
+    found.poll_answered(1.1, PollAnswer(1.05, [], []))
     assert found.lives.judge(born(6000)) is Claim.DOUBTFUL
-    found.looked(2.1, LookAnswer(2.0, [], [], born=6000))
+    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
     assert found.lives.current == RunnerIncarnation("i-1", 6000)
     assert found.lives.judge(born(6000)) is Claim.CURRENT
 
@@ -223,10 +223,10 @@
     found = RunnerControl(lease_times(Bounds()))
     for account in (*before, FIRST):
         found.runner_spoke(1.0, account)
-    found.looked(1.1, LookAnswer(1.05, [], [], born=6000))
+    found.poll_answered(1.1, PollAnswer(1.05, [], [], born=6000))
     assert found.account == FIRST
     found.runner_spoke(1.2, replace(FIRST, sequence=6))
     assert found.lives.current == RunnerIncarnation("i-1", 6000)
     assert found.state() is RunnerState.READY
-    found.looked(2.1, LookAnswer(2.0, [], [], born=5000))
+    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=5000))
     assert found.state() is RunnerState.DOWN
--- a/testing/core/leased/test_late_reads.py
+++ b/testing/core/leased/test_late_reads.py
@@ -5,7 +5,7 @@
 from paddleshunt_core.leased.health import SICK_SECONDS
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    LookAnswer,
+    PollAnswer,
     RunEnd,
     RunnerAccount,
     RunningRun,
@@ -30,7 +30,7 @@
         0.9,
         RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     tasks = [(run.task.index, 1) for run in RUNS]
     assign = Assign("job", 0, "spec", Resources(1000, 10), ESTIMATE_MS, 4000, tasks)
@@ -42,10 +42,10 @@
 
 def look(worker: Worker, sent: float, read: float, speed: float = 1.0) -> list[object]:
     """Look at runs that began at 1.0, as the runner shows them at once, and let time pass."""
-    worker.next_look(sent)
+    worker.next_poll(sent)
     percent = int(speed * (sent - 1.0) * 100_000 / ESTIMATE_MS)
-    answer = LookAnswer(sent, [RunningRun(run, percent) for run in RUNS], [])
-    effects = [*worker.looked(read, answer), *worker.tick(read)]
+    answer = PollAnswer(sent, [RunningRun(run, percent) for run in RUNS], [])
+    effects = [*worker.poll_answered(read, answer), *worker.tick(read)]
     return [effect for effect in effects if isinstance(effect, StopRun)]
 
 
@@ -83,14 +83,14 @@
         0.9,
         RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
-    control.looked(0.95, LookAnswer(0.92, [], []))
+    control.poll_answered(0.95, PollAnswer(0.92, [], []))
     control.health.suspect(1.0)
     began = 1.1 + SICK_SECONDS
     control.tick(began)
     run = Run(RUNS[0], "e", "spec", Resources(1000, 10), ESTIMATE_MS / 1000, began + 9.0)
     control.add(began, [run])
     control.start_answered(began, run.id, StartAnswer.STARTED)
-    control.next_look(began + took, renew=False)
+    control.next_poll(began + took, renew=False)
     done = [FinishedRun(1, run.id, RunEnd.DONE)]
-    control.looked(began + read, LookAnswer(began + took, [], done))
+    control.poll_answered(began + read, PollAnswer(began + took, [], done))
     assert control.health.level(began + read) is level
--- a/testing/core/leased/test_late_starts.py
+++ b/testing/core/leased/test_late_starts.py
@@ -101,7 +101,7 @@
     fleet.kill("t0")
     fleet.start("t0")
     fleet.run(late - STEP)
-    assert (fleet.workers["t0"].next_look(fleet.now).wait > 0) is met
+    assert (fleet.workers["t0"].next_poll(fleet.now).wait > 0) is met
     assert started(fleet) == 0
     fleet.run(2 * STEP)
     assert started(fleet) == 3
--- a/testing/core/leased/test_leases.py
+++ b/testing/core/leased/test_leases.py
@@ -5,7 +5,7 @@
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import (
-    LookAnswer,
+    PollAnswer,
     RunnerAccount,
     RunningRun,
     StartAnswer,
@@ -60,7 +60,7 @@
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
         worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
     return worker
@@ -69,7 +69,7 @@
 def test_a_lease_counts_from_the_decision(worker: Worker) -> None:
     effects = say(worker, "a", 1.1, 1, assign("job"))
     assert [e.until for e in effects if isinstance(e, StartRun)] == [1.1 + TIMES.hold]
-    assert worker.next_look(1.2).until == pytest.approx(1.2 + TIMES.hold)
+    assert worker.next_poll(1.2).until == pytest.approx(1.2 + TIMES.hold)
 
 
 def test_a_start_without_an_answer_prolongs_what_runs_beside_it(worker: Worker) -> None:
@@ -77,9 +77,9 @@
     worker.start_answered(1.01, run("one"), StartAnswer.STARTED)
     say(worker, "a", 1.4, 2, assign("two"))
     worker.start_answered(1.45, run("two"), StartAnswer.UNKNOWN)
-    lost = worker.look_failed(1.02 + TIMES.run_end)
+    lost = worker.poll_failed(1.02 + TIMES.run_end)
     assert "run_lapsed" not in [e.event for e in lost if isinstance(e, Log)]
-    lost = worker.look_failed(1.42 + TIMES.run_end)
+    lost = worker.poll_failed(1.42 + TIMES.run_end)
     assert [e.event for e in lost if isinstance(e, Log)].count("run_lapsed") == 2
 
 
@@ -91,7 +91,7 @@
         effects += say(worker, "b", at, number)
         effects += worker.tick(at)
         row = RunningRun(run("job"), min(99, round((at - 1.0) * 250)))
-        worker.looked(at, LookAnswer(at - 0.01, [row], []))
+        worker.poll_answered(at, PollAnswer(at - 0.01, [row], []))
         at += 0.05
     return effects
 
@@ -104,9 +104,9 @@
     over = 1.0 + TIMES.session
     effects = silence(worker, over + 0.3)
     assert StopRun(run("job")) in effects
-    assert worker.next_look(over + 0.3).until == pytest.approx(over + TIMES.hold)
+    assert worker.next_poll(over + 0.3).until == pytest.approx(over + TIMES.hold)
     silence(worker, over + TIMES.hold + 0.05)
-    assert worker.next_look(over + TIMES.hold + 0.05).until is None
+    assert worker.next_poll(over + TIMES.hold + 0.05).until is None
 
 
 def test_nothing_starts_where_it_would_prolong_what_is_unwanted(worker: Worker) -> None:
@@ -124,13 +124,13 @@
     at = 1.0 + TIMES.session + 0.3
     silence(worker, at)
     worker.stop_answered(at, run("job"), done=True)
-    assert worker.next_look(at).until == pytest.approx(at + TIMES.hold)
+    assert worker.next_poll(at).until == pytest.approx(at + TIMES.hold)
 
 
 def test_room_is_not_shown_while_nothing_may_start(worker: Worker) -> None:
     bodies(worker, "a", 1.0)
     foreign = run("foreign")
-    worker.looked(1.1, LookAnswer(1.09, [RunningRun(foreign, 5)], []))
+    worker.poll_answered(1.1, PollAnswer(1.09, [RunningRun(foreign, 5)], []))
     say(worker, "a", 1.12, 1, assign("job"))
     sent = bodies(worker, "a", 1.2)
     assert [body.free for body in sent if isinstance(body, RunnerReport)] == [NOTHING]
@@ -168,7 +168,7 @@
     if suspended:
         worker.suspended(suspended)
     last = 1.1 + suspended + TIMES.run_end
-    worker.look_failed(last - 0.01)
+    worker.poll_failed(last - 0.01)
     assert worker.runs == 1
-    worker.look_failed(last + 0.01)
+    worker.poll_failed(last + 0.01)
     assert worker.runs == 0
--- a/testing/core/leased/test_lost_looks.py
+++ b/testing/core/leased/test_lost_looks.py
@@ -6,7 +6,7 @@
 from leasedfleet import STEP, Fleet
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.losses import KEEP_SECONDS
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, StartAnswer, StartRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount, StartAnswer, StartRun
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -38,13 +38,13 @@
     seed: int, share: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is started right after a look without an answer, which the runner outlived."""
-    look_failed = Worker.look_failed
+    poll_failed = Worker.poll_failed
 
     def noted_later(self: Worker, now: float, *, other_life: bool = False) -> list[Effect]:
         # A look whose answer is lost is noted after what was ordered while it was awaited.
-        return look_failed(self, now + STEP / 2, other_life=other_life)
+        return poll_failed(self, now + STEP / 2, other_life=other_life)
 
-    monkeypatch.setattr(Worker, "look_failed", noted_later)
+    monkeypatch.setattr(Worker, "poll_failed", noted_later)
     fleet = LooksLost(entries=2, targets=12)
     fleet.settle()
     fleet.share, fleet.rng = share, Random(seed)
@@ -79,7 +79,7 @@
     """Give the control of a runner with one run at work."""
     control = RunnerControl(lease_times(Bounds()))
     control.runner_spoke(0.0, account())
-    control.looked(0.1, LookAnswer(0.05, [], []))
+    control.poll_answered(0.1, PollAnswer(0.05, [], []))
     run = run_of(TASK)
     control.add(0.2, [run])
     control.start_answered(0.21, run.id, StartAnswer.STARTED)
@@ -89,12 +89,12 @@
 def test_nothing_is_started_after_a_look_without_an_answer_until_one_has_one(
     control: RunnerControl,
 ) -> None:
-    control.next_look(0.26, renew=True)
-    control.look_failed(0.3)
+    control.next_poll(0.26, renew=True)
+    control.poll_failed(0.3)
     later = run_of(TaskId("later", 0, 0))
     assert not any(isinstance(effect, StartRun) for effect in control.add(0.31, [later]))
     assert control.take_ends() == [(later, End.NO_ROOM)]
-    control.looked(0.4, LookAnswer(0.35, [], []))
+    control.poll_answered(0.4, PollAnswer(0.35, [], []))
     again = run_of(TaskId("again", 0, 0))
     assert any(isinstance(effect, StartRun) for effect in control.add(0.41, [again]))
 
@@ -103,10 +103,10 @@
 def test_a_silent_life_that_says_it_ends_takes_its_loss_back(
     given_up: bool, control: RunnerControl
 ) -> None:
-    control.next_look(0.26, renew=True)
-    control.look_failed(0.3)
-    control.look_failed(0.35)
+    control.next_poll(0.26, renew=True)
+    control.poll_failed(0.3)
+    control.poll_failed(0.35)
     if given_up:
-        control.look_failed(5.0)
+        control.poll_failed(5.0)
     control.runner_left(5.1, RunnerIncarnation("i-1"))
     assert isinstance(control.losses.take_news()[-1], RunnerReturned)
--- a/testing/core/leased/test_sight.py
+++ b/testing/core/leased/test_sight.py
@@ -4,7 +4,7 @@
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import (
-    LookAnswer,
+    PollAnswer,
     RunnerAccount,
     RunningRun,
     StartAnswer,
@@ -36,7 +36,7 @@
     worker.runner_spoke(
         0.9, RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", NEED + NEED, False, None)
     )
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
@@ -62,7 +62,7 @@
 
 def test_a_run_taken_for_lost_says_on_what_grounds(worker: Worker) -> None:
     worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign("job")]))
-    effects = worker.look_failed(2.5)
+    effects = worker.poll_failed(2.5)
     assert lines(effects, "run_lapsed") == [
         {
             "run": 1,
@@ -75,7 +75,7 @@
 
 def test_an_assignment_given_back_says_why(worker: Worker) -> None:
     foreign = RunId(TaskId("other", 0, 0), 1)
-    worker.looked(1.05, LookAnswer(1.04, [RunningRun(foreign, 5)], []))
+    worker.poll_answered(1.05, PollAnswer(1.04, [RunningRun(foreign, 5)], []))
     effects = worker.heard(1.1, "e", Frame(1, 0, 1100, 1050, [assign("job")]))
     assert [line["reason"] for line in lines(effects, "run_ended")] == ["foreign_runs"]
 
@@ -83,8 +83,8 @@
 def test_a_lost_runner_names_what_was_at_work_on_it_and_for_how_long(worker: Worker) -> None:
     worker.heard(1.1, "e", Frame(1, 0, 1100, 1000, [assign("job")]))
     worker.start_answered(1.102, RUN, StartAnswer.STARTED)
-    worker.next_look(1.12)
-    worker.look_failed(1.13)
+    worker.next_poll(1.12)
+    worker.poll_failed(1.13)
     over = 1.12 + TIMES.run_end + 0.01
-    (line,) = lines(worker.look_failed(over), "runner_lost")
+    (line,) = lines(worker.poll_failed(over), "runner_lost")
     assert line == {"runner": "i-1", "how": "silent", "runs": 1, "worked_ms": "job.0.0#1:30"}
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.offers import OFFER_SECONDS
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    LookAnswer,
+    PollAnswer,
     RunEnd,
     RunnerAccount,
     RunningRun,
@@ -42,7 +42,7 @@
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
     effects = worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
@@ -61,7 +61,7 @@
 
 def test_a_run_seen_at_work_before_its_starts_answer_goes_on() -> None:
     worker = working()
-    worker.looked(1.01, LookAnswer(1.005, [RunningRun(RUN, 2)], []))
+    worker.poll_answered(1.01, PollAnswer(1.005, [RunningRun(RUN, 2)], []))
     effects = worker.start_answered(1.02, RUN, StartAnswer.STARTED)
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
 
@@ -69,20 +69,20 @@
 def test_a_doubtful_start_that_a_look_does_not_show_is_stopped() -> None:
     worker = working()
     assert worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN) == []
-    effects = worker.looked(1.2, LookAnswer(1.1, [], []))
+    effects = worker.poll_answered(1.2, PollAnswer(1.1, [], []))
     assert StopRun(RUN) in effects
 
 
 def test_a_look_from_before_the_doubt_decides_nothing() -> None:
     worker = working()
     worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN)
-    effects = worker.looked(1.09, LookAnswer(1.0, [], []))
+    effects = worker.poll_answered(1.09, PollAnswer(1.0, [], []))
     assert StopRun(RUN) not in effects
 
 
 def test_what_an_earlier_life_has_left_is_stopped_and_logged() -> None:
     worker = Worker(lease_times(Bounds()))
-    effects = worker.looked(1.0, LookAnswer(0.9, [RunningRun(RUN, 30)], []))
+    effects = worker.poll_answered(1.0, PollAnswer(0.9, [RunningRun(RUN, 30)], []))
     assert StopRun(RUN) in effects
     assert "foreign_run_stopping" in [getattr(effect, "event", "") for effect in effects]
     assert not worker.may_open("e")
@@ -125,7 +125,7 @@
     reports(worker, 1.0)
     worker.start_answered(1.005, RUN, StartAnswer.STARTED)
     done = FinishedRun(1, RUN, RunEnd.DONE)
-    worker.looked(1.01, LookAnswer(1.008, [], [done]))
+    worker.poll_answered(1.01, PollAnswer(1.008, [], [done]))
     assert [report.free for report in reports(worker, 1.01)] == [Resources(8000, 8000)]
 
 
@@ -148,7 +148,7 @@
     worker.heard(1.02, "e", assignment(2, 1020, 6))
     assert worker.prepare_frames(1.02) == 1.0 + times.heartbeat
     worker.start_answered(1.025, RUN, StartAnswer.STARTED)
-    worker.looked(1.03, LookAnswer(1.028, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
+    worker.poll_answered(1.03, PollAnswer(1.028, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
     assert len(reports(worker, 1.03)) == 1
 
 
@@ -160,7 +160,7 @@
     worker.retire(1.4, {"other"})
     assert worker.session("e") is not None
     worker.start_answered(1.4, RUN, StartAnswer.STARTED)
-    worker.looked(1.42, LookAnswer(1.41, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
+    worker.poll_answered(1.42, PollAnswer(1.41, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
     assert [report.state for report in reports(worker, 1.42)] == [RunnerState.LEAVING]
     worker.retire(1.43, {"other"})
     assert worker.session("e") is None
@@ -177,14 +177,14 @@
 
 def test_no_look_waits_before_the_runner_has_given_its_account() -> None:
     worker = Worker(lease_times(Bounds()))
-    worker.looked(1.0, LookAnswer(0.9, [], []))
-    assert worker.next_look(1.1).wait == 0
+    worker.poll_answered(1.0, PollAnswer(0.9, [], []))
+    assert worker.next_poll(1.1).wait == 0
     account = RunnerAccount(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
     worker.runner_spoke(1.2, account)
-    worker.looked(1.4, LookAnswer(1.3, [], []))
-    assert worker.next_look(1.5).wait > 0
+    worker.poll_answered(1.4, PollAnswer(1.3, [], []))
+    assert worker.next_poll(1.5).wait > 0
 
 
 def full_worker(entries: tuple[str, ...]) -> Worker:
@@ -194,7 +194,7 @@
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in entries:
         worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 400, 4000, [(n, 1) for n in range(7)])
@@ -268,7 +268,7 @@
     at = 1.05
     while at < until:
         rows = [RunningRun(run, percent) for run, percent in runs.items()]
-        effects += worker.looked(at, LookAnswer(at - 0.01, rows, []))
+        effects += worker.poll_answered(at, PollAnswer(at - 0.01, rows, []))
         at += 0.05
     return effects
 
@@ -291,15 +291,15 @@
     for step in range(5):
         at = 1.05 + 0.05 * step
         rows = [RunningRun(run, 10 + (step if i == 0 else 0)) for i, run in enumerate(runs)]
-        effects += worker.looked(at, LookAnswer(at - 0.01, rows, []))
+        effects += worker.poll_answered(at, PollAnswer(at - 0.01, rows, []))
     assert not [e for e in effects if isinstance(e, StopRun)]
 
 
 def test_a_look_does_not_wait_while_it_is_to_settle_a_doubtful_start() -> None:
     worker = working()
-    assert worker.next_look(1.05).wait > 0
+    assert worker.next_poll(1.05).wait > 0
     worker.start_answered(1.06, RUN, StartAnswer.UNKNOWN)
-    assert worker.next_look(1.07).wait == 0
+    assert worker.next_poll(1.07).wait == 0
 
 
 def two_runs_at_half() -> Worker:
@@ -310,22 +310,22 @@
     for run in (RUN, second):
         worker.start_answered(1.001, run, StartAnswer.STARTED)
     for at in (1.2, 1.202, 1.204, 1.206):
-        worker.next_look(at)
-        worker.looked(at, LookAnswer(at, [RunningRun(RUN, 50), RunningRun(second, 50)], []))
+        worker.next_poll(at)
+        worker.poll_answered(at, PollAnswer(at, [RunningRun(RUN, 50), RunningRun(second, 50)], []))
     return worker
 
 
 def test_an_answer_that_was_read_late_does_not_show_that_the_runner_stands_still() -> None:
     worker = two_runs_at_half()
     second = RunId(TaskId("job2", 0, 0), 1)
-    worker.next_look(1.208)
+    worker.next_poll(1.208)
     # This process stood still: what the answer shows is from before.
-    old = LookAnswer(1.208, [RunningRun(RUN, 50), RunningRun(second, 50)], [])
-    effects = worker.looked(1.6, old)
+    old = PollAnswer(1.208, [RunningRun(RUN, 50), RunningRun(second, 50)], [])
+    effects = worker.poll_answered(1.6, old)
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
-    worker.next_look(1.6)
-    fresh = LookAnswer(1.6, [RunningRun(RUN, 50), RunningRun(second, 50)], [])
-    effects = worker.looked(1.601, fresh)
+    worker.next_poll(1.6)
+    fresh = PollAnswer(1.6, [RunningRun(RUN, 50), RunningRun(second, 50)], [])
+    effects = worker.poll_answered(1.601, fresh)
     assert len([effect for effect in effects if isinstance(effect, StopRun)]) == 2
 
 
@@ -336,7 +336,7 @@
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 3200, 9000, [(0, 1), (1, 1)])
     worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
@@ -344,12 +344,12 @@
     for run in runs:
         worker.start_answered(1.001, run, StartAnswer.STARTED)
     for at in (1.2, 1.202, 1.204, 1.206):
-        worker.next_look(at)
-        worker.looked(at, LookAnswer(at, [RunningRun(run, 50) for run in runs], []))
-    worker.next_look(1.208)
+        worker.next_poll(at)
+        worker.poll_answered(at, PollAnswer(at, [RunningRun(run, 50) for run in runs], []))
+    worker.next_poll(1.208)
     # The runner answered at once; this process stood still for 0.13 s before it read that.
-    old = LookAnswer(1.208, [RunningRun(run, 50) for run in runs], [])
-    effects = worker.looked(1.338, old)
+    old = PollAnswer(1.208, [RunningRun(run, 50) for run in runs], [])
+    effects = worker.poll_answered(1.338, old)
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
 
 
@@ -365,9 +365,9 @@
             worker.start_answered(1.27, run, StartAnswer.STARTED)
     stopped: list[object] = []
     for at in (1.272, 1.284, 1.296, 1.308):
-        worker.next_look(at)
-        look = LookAnswer(at, [RunningRun(RUN, 0), RunningRun(second, 0)], [])
-        stopped += [e for e in worker.looked(at + 0.001, look) if isinstance(e, StopRun)]
+        worker.next_poll(at)
+        look = PollAnswer(at, [RunningRun(RUN, 0), RunningRun(second, 0)], [])
+        stopped += [e for e in worker.poll_answered(at + 0.001, look) if isinstance(e, StopRun)]
     assert stopped == []
 
 
@@ -377,7 +377,7 @@
     worker.start_answered(1.01, RUN, StartAnswer.STARTED)
     worker.tick(1.0 + lease_times(Bounds()).session + 0.01)
     assert worker.session("e") is None
-    worker.looked(1.6, LookAnswer(1.5, [], [FinishedRun(1, RUN, RunEnd.STOPPED)]))
+    worker.poll_answered(1.6, PollAnswer(1.5, [], [FinishedRun(1, RUN, RunEnd.STOPPED)]))
     worker.opened(1.7, Hello("e", "life", True, "hall", "", 1, 0), 1.45)
     assert worker.session("e") is None
     worker.opened(1.8, Hello("e", "life", True, "hall", "", 2, 0), 1.75)
@@ -388,17 +388,17 @@
     """The row that could not be read may be the run's, or its end's."""
     worker = working()
     worker.start_answered(1.01, RUN, StartAnswer.STARTED)
-    worker.looked(1.2, LookAnswer(1.1, [], [], partial=True))
+    worker.poll_answered(1.2, PollAnswer(1.1, [], [], partial=True))
     assert worker.runs == 1
-    worker.looked(1.4, LookAnswer(1.3, [], []))
+    worker.poll_answered(1.4, PollAnswer(1.3, [], []))
     assert worker.runs == 0
 
 
 def test_a_doubtful_start_is_not_judged_by_a_partial_answer() -> None:
     worker = working()
     worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN)
-    assert StopRun(RUN) not in worker.looked(1.2, LookAnswer(1.1, [], [], partial=True))
-    assert StopRun(RUN) in worker.looked(1.4, LookAnswer(1.3, [], []))
+    assert StopRun(RUN) not in worker.poll_answered(1.2, PollAnswer(1.1, [], [], partial=True))
+    assert StopRun(RUN) in worker.poll_answered(1.4, PollAnswer(1.3, [], []))
 
 
 @pytest.mark.parametrize("told", ["before", "while-stopping"])
@@ -406,14 +406,14 @@
     worker = working()
     worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN)
     if told == "while-stopping":
-        assert StopRun(RUN) in worker.looked(1.12, LookAnswer(1.11, [], []))
-    worker.looked(1.16, LookAnswer(1.15, [], [], partial=True, listed=4, unread_end=True))
-    worker.looked(1.21, LookAnswer(1.2, [], []))
+        assert StopRun(RUN) in worker.poll_answered(1.12, PollAnswer(1.11, [], []))
+    worker.poll_answered(1.16, PollAnswer(1.15, [], [], partial=True, listed=4, unread_end=True))
+    worker.poll_answered(1.21, PollAnswer(1.2, [], []))
     worker.stop_answered(1.3, RUN, done=True)
-    effects = worker.looked(1.5, LookAnswer(1.4, [], []))
+    effects = worker.poll_answered(1.5, PollAnswer(1.4, [], []))
     ends = [e.fields["end"] for e in effects if isinstance(e, Log) and e.event == "run_ended"]
     assert ends == ["lost"]
-    assert worker.next_look(1.6).last_seen == 4
+    assert worker.next_poll(1.6).last_seen == 4
 
 
 def test_a_partial_answer_does_not_show_that_nothing_foreign_runs() -> None:
@@ -422,13 +422,13 @@
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
-    worker.looked(1.0, LookAnswer(0.95, [], [], partial=True))
-    assert worker.next_look(1.1).wait == 0
-    worker.looked(1.2, LookAnswer(1.1, [], []))
-    assert worker.next_look(1.3).wait > 0
+    worker.poll_answered(1.0, PollAnswer(0.95, [], [], partial=True))
+    assert worker.next_poll(1.1).wait == 0
+    worker.poll_answered(1.2, PollAnswer(1.1, [], []))
+    assert worker.next_poll(1.3).wait > 0
 
 
 def test_an_end_that_is_none_of_ours_is_taken_note_of() -> None:
     worker = working()
-    worker.looked(1.2, LookAnswer(1.1, [RunningRun(RUN, 2)], [], listed=7))
-    assert worker.next_look(1.3).last_seen == 7
+    worker.poll_answered(1.2, PollAnswer(1.1, [RunningRun(RUN, 2)], [], listed=7))
+    assert worker.next_poll(1.3).last_seen == 7
--- a/testing/council/test_late_looks.py
+++ b/testing/council/test_late_looks.py
@@ -6,7 +6,7 @@
 import pytest
 from councilsystem import System, play
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
+from paddleshunt_core.leased.orders import Poll, PollAnswer, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
 
@@ -39,9 +39,9 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
+    async def look(self, look: Poll) -> PollAnswer | OtherLife | Superseded | None:
         answer = await self._port.look(look)
-        if self._started == 3 and isinstance(answer, LookAnswer) and len(answer.running) == 3:
+        if self._started == 3 and isinstance(answer, PollAnswer) and len(answer.running) == 3:
             seconds, self.seconds = self.seconds, 0.0
             time.sleep(seconds)
         return answer
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -8,8 +8,8 @@
 from paddleshunt_core.leased.bounds import CLOCK_DRIFT
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    Look,
-    LookAnswer,
+    Poll,
+    PollAnswer,
     RunEnd,
     RunningRun,
     StartAnswer,
@@ -27,7 +27,7 @@
 
 RUN = RunId(TaskId("5c0e7a21d94b36f8", 0, 7), 2)
 NAME = "5c0e7a21d94b36f8.0.0.7"
-FIRST_LOOK = Look(0, None, 0.0)
+FIRST_LOOK = Poll(0, None, 0.0)
 
 
 def always() -> bool:
@@ -112,8 +112,8 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [[NAME, 2, "", 41, 3], ["other", 1, "", 0, 0]]
         standin.finished = [[58, NAME, 1, "done", ""], [59, NAME, 1, "lapsed", ""]]
-        answer = await runner.look(Look(57, None, 0.0))
-        assert isinstance(answer, LookAnswer)
+        answer = await runner.look(Poll(57, None, 0.0))
+        assert isinstance(answer, PollAnswer)
         assert answer.running == [RunningRun(RUN, 41)]
         first = RunId(RUN.task, 1)
         assert answer.finished == [
@@ -128,7 +128,7 @@
 def test_another_life_is_told_apart() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         runner.expect(RunnerIncarnation("i-1"))
-        assert isinstance(await runner.look(FIRST_LOOK), LookAnswer)
+        assert isinstance(await runner.look(FIRST_LOOK), PollAnswer)
         standin.life = "i-2"
         assert isinstance(await runner.look(FIRST_LOOK), OtherLife)
         assert await runner.start(order(), always) is StartAnswer.OTHER_LIFE
@@ -190,7 +190,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.born = 17
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert answer.born == 17
 
     play(scene)
@@ -220,7 +220,7 @@
 def test_a_look_whose_lease_is_over_renews_nothing() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         await runner.look(FIRST_LOOK)
-        await runner.look(Look(0, time.monotonic() - 0.2, 0.0))
+        await runner.look(Poll(0, time.monotonic() - 0.2, 0.0))
         assert int(str(standin.calls[-1][1]["deadline_ms"])) < standin.clock
 
     play(scene)
@@ -288,7 +288,7 @@
         await standin.start()
         runner = Runner(standin.address)
         answers = [await runner.look(FIRST_LOOK) for _ in range(12)]
-        assert isinstance(answers[-1], LookAnswer)
+        assert isinstance(answers[-1], PollAnswer)
         assert await runner.start(order(), always) is StartAnswer.STARTED
         assert standin.highest < 2 * 700_000
 
@@ -343,7 +343,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert answer.running == [RunningRun(OTHER, 5)]
         assert answer.partial
 
@@ -359,7 +359,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert answer.running == [RunningRun(RunId(RUN.task, 2), 0), RunningRun(OTHER, 5)]
         assert not answer.partial
 
@@ -375,7 +375,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[59, NAME, 1, "done", ""], row]
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert (answer.listed, answer.partial, answer.unread_end) == (listed, True, True)
 
     play(scene)
@@ -385,7 +385,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, ["done"]]]
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert answer.finished == [FinishedRun(58, RunId(RUN.task, 1), RunEnd.STOPPED)]
         assert (answer.listed, answer.partial, answer.unread_end) == (58, False, False)
 
@@ -401,7 +401,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [row, [59, NAME, 1, "done", ""]]
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert answer.finished == [FinishedRun(59, RunId(RUN.task, 1), RunEnd.DONE)]
         assert answer.partial
 
@@ -414,7 +414,7 @@
         standin.running = [[name, 1, "", 5], OTHER_ROW]
         standin.finished = [[7, name, 1, "done", ""]]
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert (answer.running, answer.finished) == ([RunningRun(OTHER, 5)], [])
         assert (answer.partial, answer.listed) == (False, 7)
 
@@ -461,7 +461,7 @@
 def test_a_clock_that_can_not_be_read_is_not_gone_by(clock_ms: object) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.clock = clock_ms  # type: ignore[assignment]
-        assert isinstance(await runner.look(FIRST_LOOK), LookAnswer)
+        assert isinstance(await runner.look(FIRST_LOOK), PollAnswer)
         assert await runner.start(order(), always) is StartAnswer.NOT_SENT
         standin.clock = 5000
         await runner.look(FIRST_LOOK)
@@ -474,7 +474,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, "evaporated", ""]]
         answer = await runner.look(FIRST_LOOK)
-        assert isinstance(answer, LookAnswer)
+        assert isinstance(answer, PollAnswer)
         assert answer.finished == [FinishedRun(58, RunId(RUN.task, 1), RunEnd.STOPPED)]
 
     play(scene)
@@ -487,12 +487,12 @@
         standin = FencedRunner()
         await standin.start()
         removed, following = Runner(standin.address), Runner(standin.address)
-        while not isinstance(await removed.look(FIRST_LOOK), LookAnswer):
+        while not isinstance(await removed.look(FIRST_LOOK), PollAnswer):
             pass
         await removed.start(order(), always)
         late = standin.calls[-1][1]
         standin.clock += 1
-        while not isinstance(await following.look(FIRST_LOOK), LookAnswer):
+        while not isinstance(await following.look(FIRST_LOOK), PollAnswer):
             pass
         assert standin.answer("/paddleshunt/run-start", late, {}) == (
             409,
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -5,7 +5,7 @@
 import pytest
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
+from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount
 from paddleshunt_core.leased.resources import NOTHING
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Frame, Hello
@@ -114,7 +114,7 @@
     worker.runner_spoke(
         0.9, RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", NOTHING, False, None)
     )
-    worker.looked(0.95, LookAnswer(0.92, [], []))
+    worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
         worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
         assert worker.next_frame(1.0, entry, beat=True) is not None
--- a/testing/council/test_withdrawn.py
+++ b/testing/council/test_withdrawn.py
@@ -10,7 +10,7 @@
 
 import pytest
 from councilsystem import System, play, until_true
-from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
+from paddleshunt_core.leased.orders import Poll, PollAnswer, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_node.aio.httpclient import Answer
 from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
@@ -46,7 +46,7 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
+    async def look(self, look: Poll) -> PollAnswer | OtherLife | Superseded | None:
         return await self._port.look(look)
 
 
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -398,18 +398,18 @@
             )
             self._act_target(name, worker.runner_spoke(self.now, account))
         self._act_target(name, worker.tick(self.now))
-        look = worker.next_look(self.now)
+        look = worker.next_poll(self.now)
         call = self._call(name)
         if not runner.up or runner.mute:
-            self._act_target(name, worker.look_failed(self.now))
+            self._act_target(name, worker.poll_failed(self.now))
         elif call.life is not None and not call.life.has_same_id(runner.named(name)):
-            self._act_target(name, worker.look_failed(self.now, other_life=True))
+            self._act_target(name, worker.poll_failed(self.now, other_life=True))
         elif not runner.hears(call.token):
-            self._act_target(name, worker.look_failed(self.now))
+            self._act_target(name, worker.poll_failed(self.now))
         else:
             until = None if look.until is None else self._until(name, call, look.until)
             answer = runner.look(self.now, look.last_seen, until)
-            self._act_target(name, worker.looked(self.now + STEP / 2, answer))
+            self._act_target(name, worker.poll_answered(self.now + STEP / 2, answer))
 
     def _call(self, name: str) -> Call:
         """Return what a call that a target makes now bears: the life it means, and its token."""
--- a/testing/leasedrunner.py
+++ b/testing/leasedrunner.py
@@ -5,7 +5,7 @@
 
 from paddleshunt_core.leased.orders import (
     FinishedRun,
-    LookAnswer,
+    PollAnswer,
     RunEnd,
     RunningRun,
     StartAnswer,
@@ -213,7 +213,7 @@
         else:
             self._end(run, RunEnd.STOPPED)
 
-    def look(self, sent: float, last_seen: int, until: float | None) -> LookAnswer:
+    def look(self, sent: float, last_seen: int, until: float | None) -> PollAnswer:
         if until is not None:
             self.lease_until = max(self.lease_until, until)
         self.finished = [row for row in self.finished if row.number > last_seen]
@@ -221,7 +221,7 @@
             RunningRun(run, min(99, int(100 * task.done / task.length)))
             for run, task in self.running.items()
         ]
-        return LookAnswer(sent, running, list(self.finished), born=self.born)
+        return PollAnswer(sent, running, list(self.finished), born=self.born)
 
     def _end(self, run: RunId, end: RunEnd) -> None:
         del self.running[run]
