--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
@@ -15,7 +15,7 @@
 from enum import Enum, auto
 from typing import final
 
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
 PAST_LIVES = 32
@@ -30,7 +30,7 @@
 """
 
 
-class Claim(Enum):
+class HeartbeatClass(Enum):
     """What a heartbeat is worth.
 
     CURRENT: news of the known life. NEW: of the first one known. DOUBTFUL: of another life than the
@@ -39,7 +39,7 @@
 
     CURRENT = auto()
     NEW = auto()
-    DOUBTFUL = auto()
+    UNCONFIRMED = auto()
     LATE = auto()
 
 
@@ -65,30 +65,32 @@
         """The life that is followed; it may not have given an account of itself yet."""
         return self._current
 
-    def judge(self, account: RunnerAccount) -> Claim:
+    def classify(self, status: RunnerStatus) -> HeartbeatClass:
         """Return what an account that has just come is worth."""
-        if self._has_ended(account.runner):
-            return Claim.LATE
+        if self._has_ended(status.runner):
+            return HeartbeatClass.LATE
         if self._current is None:
-            return Claim.NEW
-        if not self.is_current(account.runner):
-            return Claim.LATE if account.runner in self._denied else Claim.DOUBTFUL
-        if 0 < account.sequence <= self._sequence or not self._goes_on(account):
-            return Claim.LATE
-        return Claim.CURRENT
-
-    def _goes_on(self, account: RunnerAccount) -> bool:
+            return HeartbeatClass.NEW
+        if not self.is_current(status.runner):
+            return (
+                HeartbeatClass.LATE if status.runner in self._denied else HeartbeatClass.UNCONFIRMED
+            )
+        if 0 < status.sequence <= self._sequence or not self._goes_on(status):
+            return HeartbeatClass.LATE
+        return HeartbeatClass.CURRENT
+
+    def _goes_on(self, status: RunnerStatus) -> bool:
         """Whether its number is near, or follows another far one; the first may have any."""
-        if not self._sequence or account.sequence <= self._sequence + MOST_SKIPPED:
+        if not self._sequence or status.sequence <= self._sequence + MOST_SKIPPED:
             return True
-        return self._leap is not None and account.sequence > self._leap
+        return self._leap is not None and status.sequence > self._leap
 
-    def pass_over(self, account: RunnerAccount) -> None:
+    def pass_over(self, status: RunnerStatus) -> None:
         """Note an account that was judged late: the next one may go on from a number far ahead."""
-        if not self.is_current(account.runner) or account.sequence <= self._sequence:
+        if not self.is_current(status.runner) or status.sequence <= self._sequence:
             return
-        if self._leap is None or not 0 <= self._leap - account.sequence <= MOST_SKIPPED:
-            self._leap = account.sequence
+        if self._leap is None or not 0 <= self._leap - status.sequence <= MOST_SKIPPED:
+            self._leap = status.sequence
 
     def is_current(self, life: RunnerIncarnation) -> bool:
         """Whether a life may be the one that is followed, as far as both are told."""
@@ -96,11 +98,11 @@
             return False
         return self._current.may_be_same(life)
 
-    def follow(self, account: RunnerAccount) -> None:
+    def follow(self, status: RunnerStatus) -> None:
         """Follow the life that an account is of."""
-        self.meet(account.runner)
+        self.meet(status.runner)
         self._leap = None
-        self._sequence = max(self._sequence, account.sequence)
+        self._sequence = max(self._sequence, status.sequence)
 
     def answered_as(self, life: RunnerIncarnation) -> None:
         """Follow the life that the runner itself has said to be in its lists."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
@@ -11,7 +11,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class RunnerAccount:
+class RunnerStatus:
     """What a runner says of itself: its life, pool, size and whether it is leaving."""
 
     runner: RunnerIncarnation
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -64,9 +64,9 @@
 
     def _has_plenty(self) -> bool:
         control = self._control
-        if control.account is None or control.state() is not RunnerState.READY:
+        if control.status is None or control.state() is not RunnerState.READY:
             return False
-        return control.table.used.share_of(control.account.capacity) < 1 - PLENTY
+        return control.table.used.share_of(control.status.capacity) < 1 - PLENTY
 
     def _holder(self, now: float, free: Resources, plenty: bool) -> str | None:
         """Return the entry that alone is shown the room; None if all are shown it."""
@@ -78,18 +78,18 @@
 
     def _report(self, now: float, link: EntryLink, shown: Resources) -> RunnerReport:
         control = self._control
-        account = control.account
+        status = control.status
         return RunnerReport(
-            service=account.service if account else "",
-            runner=account.runner.id if account else "",
+            service=status.service if status else "",
+            runner=status.runner.id if status else "",
             state=control.state() if link.retired is None else RunnerState.LEAVING,
             health=control.level,
-            capacity=account.capacity if account else NOTHING,
+            capacity=status.capacity if status else NOTHING,
             free=shown,
-            labels=account.labels if account else (),
+            labels=status.labels if status else (),
             cold_ms=round(control.cold(now) * 1000),
-            kind=account.kind if account else "",
-            born=account.runner.born if account else 0,
+            kind=status.kind if status else "",
+            born=status.runner.born if status else 0,
         )
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -4,19 +4,18 @@
 from typing import final
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.accounts import AccountCheck, contradiction_note
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, LeaseTimes
 from paddleshunt_core.leased.evacuation import Evacuations
 from paddleshunt_core.leased.foreignruns import ForeignRuns
 from paddleshunt_core.leased.health import RunnerHealth
-from paddleshunt_core.leased.incarnations import Claim, Incarnations
+from paddleshunt_core.leased.incarnations import HeartbeatClass, Incarnations
 from paddleshunt_core.leased.orders import (
     FinishedRun,
     Order,
     Poll,
     PollAnswer,
     RunEnd,
-    RunnerAccount,
+    RunnerStatus,
     StartAnswer,
     StartRun,
     StopRun,
@@ -42,6 +41,7 @@
     resized_note,
 )
 from paddleshunt_core.leased.runtable import Phase, Run, RunTable
+from paddleshunt_core.leased.statuscheck import StatusCheck, contradicting_status_note
 from paddleshunt_core.leased.stopping import stop, stop_again
 from paddleshunt_core.leased.wire import (
     End,
@@ -96,8 +96,8 @@
         self.evacuations = Evacuations()
         self.lives = Incarnations()
         self.table = RunTable()
-        self.account: RunnerAccount | None = None
-        self._check_account = AccountCheck()
+        self.status: RunnerStatus | None = None
+        self._check_account = StatusCheck()
         self.health = RunnerHealth(cold_overrun)
         self.level = Health.GOOD
         self.leaving = False
@@ -159,44 +159,44 @@
         """Start nothing more."""
         self.leaving = True
 
-    def runner_spoke(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def runner_spoke(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Follow the runner's account of itself, unless it is late; it may be of another life."""
-        if self.lives.judge(account) is Claim.LATE:
-            self.lives.pass_over(account)
-            return [late_note(account, self.lives.current)]
-        known = self.account
-        if self._check_account.contradicts(known, account):
-            return [contradiction_note(account)]
+        if self.lives.classify(status) is HeartbeatClass.LATE:
+            self.lives.pass_over(status)
+            return [late_note(status, self.lives.current)]
+        known = self.status
+        if self._check_account.contradicts(known, status):
+            return [contradicting_status_note(status)]
         effects: list[Effect] = []
-        if not self.lives.is_current(account.runner):
+        if not self.lives.is_current(status.runner):
             if self.lives.current is not None:
-                effects += self._runner_replaced(now, account.runner)
+                effects += self._runner_replaced(now, status.runner)
             self._foreign.meet(now)
             known = None
         elif known is not None:
             self.losses.spoke()
-        self.account = account
-        self.lives.follow(account)
-        effects += self._note_cold(now, account)
-        if known is not None and known.capacity != account.capacity:
-            effects.append(resized_note(account, known.capacity))
-        if account.leaving and not (known and known.leaving):
-            effects.append(note("runner_leaving", runner=str(account.runner)))
+        self.status = status
+        self.lives.follow(status)
+        effects += self._note_cold(now, status)
+        if known is not None and known.capacity != status.capacity:
+            effects.append(resized_note(status, known.capacity))
+        if status.leaving and not (known and known.leaving):
+            effects.append(note("runner_leaving", runner=str(status.runner)))
         return effects
 
     def cold(self, now: float) -> float:
         """Return for how many seconds the runner stays slow yet after its start."""
         return max(0.0, self._cold_until - now)
 
-    def _note_cold(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def _note_cold(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Follow the runner's word on how long it stays slow; it runs down until the next."""
         was_cold = self.cold(now) > 0
-        self._cold_until = now + account.cold
-        self.health.note_cold(now, account.cold)
-        if not account.cold or was_cold:
+        self._cold_until = now + status.cold
+        self.health.note_cold(now, status.cold)
+        if not status.cold or was_cold:
             return []
-        left = round(account.cold * 1000)
-        return [note("runner_cold", runner=str(account.runner), left_ms=left)]
+        left = round(status.cold * 1000)
+        return [note("runner_cold", runner=str(status.runner), left_ms=left)]
 
     def runner_left(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
@@ -204,9 +204,9 @@
         if current is None or not self.lives.is_current(life):
             self.lives.note_ended(life)
             return []
-        if self.account is not None:
+        if self.status is not None:
             # What still runs there ends with a runner that left as it said: it took nothing down.
-            self.account = replace(self.account, leaving=True)
+            self.status = replace(self.status, leaving=True)
         if current.born and not life.born:
             # It may be the late word of an earlier life: nothing is started until the runner says
             # otherwise, and what runs goes on until looks show that it has ended.
@@ -231,7 +231,7 @@
 
     def _poll_wait(self) -> float:
         # The runner's account changes whom a look is meant for: a long one under way is wasted.
-        if not self.clean or self.account is None:
+        if not self.clean or self.status is None:
             return 0.0
         if any(run.doubted is not None or run.phase is Phase.STOPPING for run in self.table):
             return 0.0
@@ -318,9 +318,9 @@
         self._failed_looks += 1
         if self._failed_looks == UNREACHABLE_LOOKS:
             effects.append(note("runner_unreachable", runs=len(self.table)))
-            self.losses.silent(now, self.account, self.table)
+            self.losses.silent(now, self.status, self.table)
         if self._lease.has_killed(now) and len(self.table):
-            effects.append(self.losses.given_up(now, self.account, self.table))
+            effects.append(self.losses.given_up(now, self.status, self.table))
             for run in self.table:
                 effects.append(lapsed_note(run, self._lease.over_for(now)))
                 effects += self._ended(run, End.LOST, "lease_lapsed")
@@ -363,11 +363,11 @@
 
     def state(self) -> RunnerState:
         """Return what the runner may be given."""
-        if self.account is None or self._failed_looks >= UNREACHABLE_LOOKS:
+        if self.status is None or self._failed_looks >= UNREACHABLE_LOOKS:
             return RunnerState.DOWN
-        if self.leaving or self.account.leaving:
+        if self.leaving or self.status.leaving:
             return RunnerState.LEAVING
-        if self.evacuations.covers(self.account.hall or self._hall):
+        if self.evacuations.covers(self.status.hall or self._hall):
             return RunnerState.EVACUATED
         return RunnerState.READY
 
@@ -382,13 +382,13 @@
 
         What runs goes on; an order that has not left yet is held back.
         """
-        return self.account is None or not self.table.used.fits(self.account.capacity)
+        return self.status is None or not self.table.used.fits(self.status.capacity)
 
     def free(self) -> Resources:
         """Return the room on the runner."""
-        if self.account is None:
+        if self.status is None:
             return NOTHING
-        return self.account.capacity - self.table.used
+        return self.status.capacity - self.table.used
 
     def offered(self, now: float) -> Resources:
         """Return the room that is given to entries now: none while nothing may start."""
@@ -543,7 +543,7 @@
         effects: list[Effect] = [
             note("runner_replaced", was=format_incarnation(was), now=format_incarnation(life))
         ]
-        effects += self.losses.replaced(now, self.account, self.table)
+        effects += self.losses.replaced(now, self.status, self.table)
         strays = life is not None and was is not None and was.has_same_id(life)
         for run in self.table:
             if strays:
@@ -555,7 +555,7 @@
         self.health = RunnerHealth(self._cold_overrun)
         self._cold_until = float("-inf")
         self._last_seen = 0
-        self.account = None
+        self.status = None
         self.lives.end(answered=answered)
         self._foreign.meet(now)
         if life is not None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from paddleshunt_core.events import Log
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.runnotes import runner_lost_note
 from paddleshunt_core.leased.runtable import Run, RunTable
 from paddleshunt_core.leased.wire import (
@@ -76,20 +76,20 @@
         if self._silent_since is None:
             self._silent_since = now
 
-    def silent(self, now: float, account: RunnerAccount | None, table: RunTable) -> None:
+    def silent(self, now: float, status: RunnerStatus | None, table: RunTable) -> None:
         """Note that looks in a row had no answer, with runs at work: it may have been lost."""
-        if account is not None and not account.leaving and _own(table):
-            self._told = self._loss(now, account)
+        if status is not None and not status.leaving and _own(table):
+            self._told = self._loss(now, status)
             self._news.append(RunnerSilent(self._told, *self._at_work(now, table)))
 
-    def given_up(self, now: float, account: RunnerAccount | None, table: RunTable) -> Log:
+    def given_up(self, now: float, status: RunnerStatus | None, table: RunTable) -> Log:
         """Note that what runs there can't be at work any more, as no look had an answer."""
-        return self._lose(now, account, table, SILENT)
+        return self._lose(now, status, table, SILENT)
 
-    def replaced(self, now: float, account: RunnerAccount | None, table: RunTable) -> list[Log]:
+    def replaced(self, now: float, status: RunnerStatus | None, table: RunTable) -> list[Log]:
         """Note that the life that was known has ended; it won't answer again."""
-        logs = [self._lose(now, account, table, REPLACED)] if _own(table) else []
-        if account is not None and account.leaving:
+        logs = [self._lose(now, status, table, REPLACED)] if _own(table) else []
+        if status is not None and status.leaving:
             # It said meanwhile that it ends: its silence was no sign of a loss.
             self._take_back()
         elif self._silence is not None:
@@ -100,18 +100,18 @@
         self._silence = None
         return logs
 
-    def _lose(self, now: float, account: RunnerAccount | None, table: RunTable, how: str) -> Log:
+    def _lose(self, now: float, status: RunnerStatus | None, table: RunTable, how: str) -> Log:
         """Tell of a life and its runs, unless it had said that it ends."""
-        if account is not None and not account.leaving:
-            self._tell(now, account, table, ended=how == REPLACED)
+        if status is not None and not status.leaving:
+            self._tell(now, status, table, ended=how == REPLACED)
         else:
             # It said meanwhile that it ends: its silence was no sign of a loss.
             self._take_back()
-        runner = str(account.runner) if account else ""
+        runner = str(status.runner) if status else ""
         return runner_lost_note(runner, how, self._since(now), _own(table))
 
-    def _tell(self, now: float, account: RunnerAccount, table: RunTable, *, ended: bool) -> None:
-        self._told = self._loss(now, account)
+    def _tell(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
+        self._told = self._loss(now, status)
         lost = RunnerLost(self._told, *self._at_work(now, table))
         known = {run.id.task for run in _own(table) if run.at_work}
         at_work = [task for task in lost.tasks if task in known]
@@ -130,8 +130,8 @@
     def _since(self, now: float) -> float:
         return now if self._silent_since is None else self._silent_since
 
-    def _loss(self, now: float, account: RunnerAccount) -> LossId:
-        return LossId.of(account.runner, int(self._since(now) * 1000))
+    def _loss(self, now: float, status: RunnerStatus) -> LossId:
+        return LossId.of(status.runner, int(self._since(now) * 1000))
 
     def _at_work(self, now: float, table: RunTable) -> tuple[list[TaskId], list[str], list[int]]:
         """Return the tasks at work in order, the queue of each, and its milliseconds of work.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
 from paddleshunt_core.leased.runtable import Run
@@ -47,22 +47,22 @@
     return note("run_lapsed", str(run.id.task), **fields)
 
 
-def late_note(account: RunnerAccount, known: RunnerIncarnation | None) -> Log:
+def late_note(status: RunnerStatus, known: RunnerIncarnation | None) -> Log:
     """Return the line on an account that is passed over; `known`: the life that is followed."""
     fields: dict[str, str | int | float] = {
-        "runner": str(account.runner),
-        "sequence": account.sequence,
-        "leaving": account.leaving,
+        "runner": str(status.runner),
+        "sequence": status.sequence,
+        "leaving": status.leaving,
         "known": format_incarnation(known),
     }
     return note("heartbeat_late", **fields)
 
 
-def resized_note(account: RunnerAccount, before: Resources) -> Log:
+def resized_note(status: RunnerStatus, before: Resources) -> Log:
     """Return the line that says what a runner that goes on running has now, and had before."""
-    now = account.capacity
+    now = status.capacity
     fields: dict[str, str | int | float] = {
-        "runner": str(account.runner),
+        "runner": str(status.runner),
         "processor": now.processor,
         "processor_before": before.processor,
         "memory": now.memory,
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/accounts.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/statuscheck.py
@@ -7,18 +7,18 @@
 from typing import final
 
 from paddleshunt_core.events import Log, note
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.refusals import shown
 
 
 @final
-class AccountCheck:
+class StatusCheck:
     """The contradiction that was said last, if any."""
 
     def __init__(self) -> None:
-        self._said: RunnerAccount | None = None
+        self._said: RunnerStatus | None = None
 
-    def contradicts(self, known: RunnerAccount | None, told: RunnerAccount) -> bool:
+    def contradicts(self, known: RunnerStatus | None, told: RunnerStatus) -> bool:
         """Whether `told` is to be passed over, as the known account says otherwise."""
         said, self._said = self._said, None
         if known is None or not known.runner.may_be_same(told.runner) or _agree(known, told):
@@ -29,17 +29,17 @@
         return True
 
 
-def contradiction_note(account: RunnerAccount) -> Log:
+def contradicting_status_note(status: RunnerStatus) -> Log:
     """Return the line on an account that is passed over."""
     return note(
         "heartbeat_contradicts",
-        runner=str(account.runner),
-        service=shown(account.service),
-        hall=shown(account.hall),
-        labels=shown(",".join(account.labels)),
-        sequence=account.sequence,
+        runner=str(status.runner),
+        service=shown(status.service),
+        hall=shown(status.hall),
+        labels=shown(",".join(status.labels)),
+        sequence=status.sequence,
     )
 
 
-def _agree(one: RunnerAccount, other: RunnerAccount) -> bool:
+def _agree(one: RunnerStatus, other: RunnerStatus) -> bool:
     return (one.service, one.hall, one.labels) == (other.service, other.hall, other.labels)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -12,10 +12,10 @@
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, LeaseTimes
 from paddleshunt_core.leased.entrylink import EntryLink
 from paddleshunt_core.leased.evacuation import evacuation_note
-from paddleshunt_core.leased.incarnations import Claim
+from paddleshunt_core.leased.incarnations import HeartbeatClass
 from paddleshunt_core.leased.losses import LossBook
 from paddleshunt_core.leased.offers import Offers
-from paddleshunt_core.leased.orders import Poll, PollAnswer, RunnerAccount, StartAnswer
+from paddleshunt_core.leased.orders import Poll, PollAnswer, RunnerStatus, StartAnswer
 from paddleshunt_core.leased.reporting import Reporter
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -69,9 +69,9 @@
     # What others ask about this target.
 
     @property
-    def account(self) -> RunnerAccount | None:
+    def runner_status(self) -> RunnerStatus | None:
         """The runner's last account of itself."""
-        return self._control.account
+        return self._control.status
 
     @property
     def idle(self) -> bool:
@@ -95,7 +95,7 @@
         """Return a summary of the state for a dump."""
         control = self._control
         return {
-            "runner": str(control.account.runner) if control.account else "",
+            "runner": str(control.status.runner) if control.status else "",
             "runs": len(control.table),
             "free": control.free(),
             "health": control.health.level(now).name,
@@ -214,9 +214,9 @@
 
     # The runner.
 
-    def judge(self, account: RunnerAccount) -> Claim:
+    def classify(self, status: RunnerStatus) -> HeartbeatClass:
         """Return what an account of the runner is worth."""
-        return self._control.lives.judge(account)
+        return self._control.lives.classify(status)
 
     @property
     def life(self) -> RunnerIncarnation | None:
@@ -232,9 +232,9 @@
         """Note that the runner says it is not this life: it has ended, or is yet to come."""
         self._control.lives.deny(life)
 
-    def runner_spoke(self, now: float, account: RunnerAccount) -> list[Effect]:
+    def runner_spoke(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Take the runner's account of itself."""
-        return self._control.runner_spoke(now, account)
+        return self._control.runner_spoke(now, status)
 
     def runner_left(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/claims.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/claims.py
@@ -2,7 +2,7 @@
 
 from typing import final
 
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
 MOST_CLAIMS = 32
@@ -14,12 +14,12 @@
     """By life, its newest account; it may say by then that the life is leaving."""
 
     def __init__(self) -> None:
-        self._accounts: dict[RunnerIncarnation, RunnerAccount] = {}
+        self._accounts: dict[RunnerIncarnation, RunnerStatus] = {}
 
     def __contains__(self, life: RunnerIncarnation) -> bool:
         return life in self._accounts
 
-    def keep(self, account: RunnerAccount) -> None:
+    def keep(self, account: RunnerStatus) -> None:
         """Keep an account, unless a newer one of its life is known."""
         known = self._accounts.get(account.runner)
         if known is None or account.sequence > known.sequence:
@@ -27,11 +27,11 @@
         if len(self._accounts) > MOST_CLAIMS:
             del self._accounts[next(iter(self._accounts))]
 
-    def newest(self, life: RunnerIncarnation) -> RunnerAccount | None:
+    def newest(self, life: RunnerIncarnation) -> RunnerStatus | None:
         """Return the newest account of a life."""
         return self._accounts.get(life)
 
-    def all(self) -> list[RunnerAccount]:
+    def all(self) -> list[RunnerStatus]:
         """Return the accounts that are kept."""
         return list(self._accounts.values())
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -10,7 +10,7 @@
 from paddleshunt_core.leased.orders import (
     Poll,
     PollAnswer,
-    RunnerAccount,
+    RunnerStatus,
     StartAnswer,
     StartRun,
     StopRun,
@@ -118,7 +118,7 @@
 class RegistrationCodec(Protocol):
     """Turns the requests by which a runner registers into accounts."""
 
-    def read(self, request: Request) -> RunnerAccount | RunnerEnds | Response:
+    def read(self, request: Request) -> RunnerStatus | RunnerEnds | Response:
         """Return what the runner says, or the answer to a request that is none."""
 
     def acknowledge(self) -> Response:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -8,11 +8,11 @@
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.entrychoice import EntryChoice
-from paddleshunt_core.leased.incarnations import Claim
+from paddleshunt_core.leased.incarnations import HeartbeatClass
 from paddleshunt_core.leased.linkpressure import PressureLevel
 from paddleshunt_core.leased.orders import (
     PollAnswer,
-    RunnerAccount,
+    RunnerStatus,
     StartRun,
     StopRun,
     Supersede,
@@ -210,45 +210,53 @@
             return
         exchange.respond(self._codec.acknowledge())
 
-    def _take_account(self, account: RunnerAccount) -> bool:
+    def _take_account(self, runner_status: RunnerStatus) -> bool:
         """Follow an account, or keep it with a claim; return whether either was done."""
-        is_claim = self._worker.judge(account) is Claim.DOUBTFUL
-        if is_claim or account.runner in self._claims:
-            self._claims.keep(account)
+        is_claim = self._worker.classify(runner_status) is HeartbeatClass.UNCONFIRMED
+        if is_claim or runner_status.runner in self._claims:
+            self._claims.keep(runner_status)
         if is_claim:
-            self._around.spawn(self._confirm(account))
+            self._around.spawn(self._confirm(runner_status))
         else:
-            self._follow(account)
-        return account in (self._worker.account, self._claims.newest(account.runner))
+            self._follow(runner_status)
+        return runner_status in (
+            self._worker.runner_status,
+            self._claims.newest(runner_status.runner),
+        )
 
-    def _follow(self, account: RunnerAccount) -> None:
+    def _follow(self, runner_status: RunnerStatus) -> None:
         """Follow the runner's account of itself."""
-        is_new = self._worker.judge(account) in (Claim.NEW, Claim.DOUBTFUL)
-        if is_new or self._worker.account is None:
+        is_new = self._worker.classify(runner_status) in (
+            HeartbeatClass.NEW,
+            HeartbeatClass.UNCONFIRMED,
+        )
+        if is_new or self._worker.runner_status is None:
             self._claims.clear()
-            name = str(account.runner)
-            self._around.event("runner_found", runner=name, service=account.service)
-        self._act(self._worker.runner_spoke(self._now(), account))
+            name = str(runner_status.runner)
+            self._around.event("runner_found", runner=name, service=runner_status.service)
+        self._act(self._worker.runner_spoke(self._now(), runner_status))
 
-    async def _confirm(self, account: RunnerAccount) -> None:
+    async def _confirm(self, runner_status: RunnerStatus) -> None:
         """Follow another life than the known one if the runner says that it is this one.
 
         Without an answer, or if it is denied, the claim stays until the known life is found to have
         ended: it may be the next one, which registers while this one drains.
         """
         changes = self._changes
-        answer = await self._runner.lives(account.runner)
+        answer = await self._runner.lives(runner_status.runner)
         if changes != self._changes:
             # It may be of before that change; a claim that stands has been asked about again.
             return
-        account = self._claims.newest(account.runner) or account
+        runner_status = self._claims.newest(runner_status.runner) or runner_status
         event = {True: "life_confirmed", False: "life_denied", None: "life_unanswered"}[answer]
-        self._around.event(event, runner=str(account.runner))
-        claim = self._worker.judge(account)
+        self._around.event(event, runner=str(runner_status.runner))
+        claim = self._worker.classify(runner_status)
         if answer is False:
-            self._worker.life_denied(account.runner)
-        elif claim in (Claim.NEW, Claim.CURRENT) or (answer and claim is Claim.DOUBTFUL):
-            self._follow(account)
+            self._worker.life_denied(runner_status.runner)
+        elif claim in (HeartbeatClass.NEW, HeartbeatClass.CURRENT) or (
+            answer and claim is HeartbeatClass.UNCONFIRMED
+        ):
+            self._follow(runner_status)
 
     def _meet_life(self) -> None:
         """Mean the life that is followed now, if it is another one; ask again about claims."""
@@ -261,8 +269,8 @@
         self._changes = self._worker.life_changes
         self._life_meant = life
         self._runner.expect(life)
-        for account in self._claims.all():
-            self._around.spawn(self._confirm(account))
+        for runner_status in self._claims.all():
+            self._around.spawn(self._confirm(runner_status))
 
     def _runner_ends(self, now: float, ends: RunnerEnds) -> None:
         self._around.event("runner_left", runner=str(ends.runner))
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.health import SICK_SECONDS, SLOW, RunnerHealth
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, new_job
-from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount, RunningRun, StopRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus, RunningRun, StopRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.resources import Resources
@@ -107,14 +107,14 @@
 # The target.
 
 
-def account(cold: float, runner: str = "i-1") -> RunnerAccount:
-    return RunnerAccount(RunnerIncarnation(runner), "svc", "a", ROOM, False, None, cold=cold)
+def status(cold: float, runner: str = "i-1") -> RunnerStatus:
+    return RunnerStatus(RunnerIncarnation(runner), "svc", "a", ROOM, False, None, cold=cold)
 
 
 def worker(cold: float, overrun: float = 1.5) -> Worker:
     """Return a worker whose runner was cold for `cold` s yet at 0.9, in session with `e`."""
     made = Worker(lease_times(Bounds()), "a", overrun)
-    made.runner_spoke(0.9, account(cold))
+    made.runner_spoke(0.9, status(cold))
     made.poll_answered(0.95, PollAnswer(0.92, [], []))
     made.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return made
@@ -145,7 +145,7 @@
 ) -> None:
     made = worker(2.0)
     told(made, 1.0)
-    made.runner_spoke(1.4, account(cold))
+    made.runner_spoke(1.4, status(cold))
     assert told(made, 1.4) == expected
 
 
@@ -155,7 +155,7 @@
 ) -> None:
     made = worker(2.0)
     told(made, 1.0)
-    made.runner_spoke(1.4, account(cold, "i-2"))
+    made.runner_spoke(1.4, status(cold, "i-2"))
     made.poll_answered(1.45, PollAnswer(1.42, [], []))
     assert told(made, 1.5)[-1:] == [max(0, cold_ms - 100) for cold_ms in expected]
 
@@ -166,7 +166,7 @@
     frame = Frame(1, 0, 1000, 1000, [EvacuationNews(EvacuatedHalls(20, ("a",)))])
     made.heard(1.0, "e", frame)
     # Heartbeats go on without the store; so does what another entry says of the hall.
-    made.runner_spoke(1.2, account(1.5))
+    made.runner_spoke(1.2, status(1.5))
     back = Frame(2, 0, 1100, 1300, [EvacuationNews(EvacuatedHalls(21, ()))])
     made.heard(1.3, "e", back)
     made.prepare_frames(1.3)
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -251,7 +251,7 @@
     fleet.runners["t0"].restart()
     fleet.runners["t0"].mute = True
     fleet.run(0.4)
-    assert fleet.workers["t0"].account is not None
+    assert fleet.workers["t0"].runner_status is not None
     caller = fleet.submit("e0", "job", count=6, length=0.1)
     fleet.run(0.3)
     assert fleet.answers[caller] == Completed()
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -7,7 +7,7 @@
     FinishedRun,
     PollAnswer,
     RunEnd,
-    RunnerAccount,
+    RunnerStatus,
     StartAnswer,
     StartRun,
 )
@@ -37,10 +37,10 @@
 def worker() -> Worker:
     """A worker in session with an entry since 1.0, which has told all that it has to."""
     worker = Worker(TIMES)
-    account = RunnerAccount(
+    status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, account)
+    worker.runner_spoke(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     worker.prepare_frames(1.0)
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -6,7 +6,7 @@
 from leasedfleet import Fleet
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
-from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount, StartAnswer, StartRun, StopRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.outcomes import Completed
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -61,7 +61,7 @@
 def worker_in(hall: str) -> Worker:
     """Return a worker in session with the entry `e`."""
     worker = Worker(lease_times(Bounds()), hall)
-    account = RunnerAccount(
+    account = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", hall, Resources(8000, 8000), False, None
     )
     worker.runner_spoke(0.9, account)
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -4,36 +4,36 @@
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.incarnations import MOST_SKIPPED, Claim, Incarnations
-from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount
+from paddleshunt_core.leased.incarnations import MOST_SKIPPED, HeartbeatClass, Incarnations
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunnerState
 
 ROOM = Resources(8000, 8000)
-FIRST = RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", ROOM, False, None, sequence=5)
+FIRST = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", ROOM, False, None, sequence=5)
 NEXT = replace(FIRST, runner=RunnerIncarnation("i-2"), sequence=1)
 
 
 @pytest.mark.parametrize(
     ("account", "expected"),
     [
-        (replace(FIRST, sequence=6), Claim.CURRENT),
-        (replace(FIRST, sequence=0), Claim.CURRENT),
-        (replace(FIRST, sequence=5), Claim.LATE),
-        (replace(FIRST, sequence=4), Claim.LATE),
-        (NEXT, Claim.DOUBTFUL),
+        (replace(FIRST, sequence=6), HeartbeatClass.CURRENT),
+        (replace(FIRST, sequence=0), HeartbeatClass.CURRENT),
+        (replace(FIRST, sequence=5), HeartbeatClass.LATE),
+        (replace(FIRST, sequence=4), HeartbeatClass.LATE),
+        (NEXT, HeartbeatClass.UNCONFIRMED),
     ],
     ids=["later", "not_numbered", "same", "earlier", "other_life"],
 )
 def test_what_an_account_is_worth_while_a_life_is_known(
-    account: RunnerAccount, expected: Claim
+    status: RunnerStatus, expected: HeartbeatClass
 ) -> None:
     lives = Incarnations()
-    assert lives.judge(FIRST) is Claim.NEW
+    assert lives.classify(FIRST) is HeartbeatClass.NEW
     lives.follow(FIRST)
-    assert lives.judge(account) is expected
+    assert lives.classify(status) is expected
 
 
 def told(*sequences: int) -> list[int]:
@@ -42,9 +42,9 @@
     found.runner_spoke(1.0, FIRST)
     followed: list[int] = []
     for at, sequence in enumerate(sequences):
-        account = replace(FIRST, sequence=sequence)
-        found.runner_spoke(2.0 + at, account)
-        if found.account is account:
+        status = replace(FIRST, sequence=sequence)
+        found.runner_spoke(2.0 + at, status)
+        if found.status is status:
             followed.append(sequence)
     return followed
 
@@ -79,7 +79,7 @@
         lives.end()
     else:
         lives.note_ended(FIRST.runner)
-    assert lives.judge(replace(FIRST, sequence=9)) is Claim.LATE
+    assert lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
 
 
 def test_a_life_that_is_denied_is_not_asked_about_again_until_the_followed_one_has_ended() -> None:
@@ -87,23 +87,27 @@
     lives = Incarnations()
     lives.follow(FIRST)
     lives.deny(NEXT.runner)
-    assert lives.judge(replace(NEXT, sequence=2)) is Claim.LATE
+    assert lives.classify(replace(NEXT, sequence=2)) is HeartbeatClass.LATE
     lives.end()
-    assert lives.judge(replace(NEXT, sequence=3)) is Claim.NEW
-    assert lives.judge(replace(FIRST, sequence=9)) is Claim.LATE
+    assert lives.classify(replace(NEXT, sequence=3)) is HeartbeatClass.NEW
+    assert lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
 
 
 @pytest.mark.parametrize(
-    ("looked_at", "expected"), [(False, Claim.NEW), (True, Claim.LATE)], ids=["never", "answered"]
+    ("looked_at", "expected"),
+    [(False, HeartbeatClass.NEW), (True, HeartbeatClass.LATE)],
+    ids=["never", "answered"],
 )
-def test_a_life_that_never_answered_may_be_yet_to_come(*, looked_at: bool, expected: Claim) -> None:
+def test_a_life_that_never_answered_may_be_yet_to_come(
+    *, looked_at: bool, expected: HeartbeatClass
+) -> None:
     """It registered before it had its address: the look found the life before."""
     found = RunnerControl(lease_times(Bounds()))
     found.runner_spoke(1.0, FIRST)
     if looked_at:
         found.poll_answered(1.1, PollAnswer(1.05, [], []))
     found.poll_failed(1.2, other_life=True)
-    assert found.lives.judge(replace(FIRST, sequence=6)) is expected
+    assert found.lives.classify(replace(FIRST, sequence=6)) is expected
 
 
 def control() -> RunnerControl:
@@ -124,20 +128,20 @@
     ],
     ids=["earlier_life", "earlier_life_leaving", "earlier_leaving", "earlier_room"],
 )
-def test_a_late_account_changes_nothing(late: RunnerAccount) -> None:
+def test_a_late_account_changes_nothing(late: RunnerStatus) -> None:
     found = control()
     found.runner_spoke(3.0, late)
-    assert found.account == NEXT
+    assert found.status == NEXT
     assert found.state() is RunnerState.READY
 
 
 def test_a_late_word_of_an_earlier_lifes_end_changes_nothing() -> None:
     found = control()
     assert found.runner_left(3.0, FIRST.runner) == []
-    assert found.account == NEXT
+    assert found.status == NEXT
 
 
-def born(start: int, sequence: int = 1) -> RunnerAccount:
+def born(start: int, sequence: int = 1) -> RunnerStatus:
     """Return an account of a life of `FIRST`'s id that tells its start."""
     return replace(FIRST, runner=RunnerIncarnation(FIRST.runner.id, start), sequence=sequence)
 
@@ -152,12 +156,12 @@
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
 def test_another_life_under_the_same_id_has_to_be_confirmed(start: int) -> None:
-    assert known(5000).lives.judge(born(start)) is Claim.DOUBTFUL
+    assert known(5000).lives.classify(born(start)) is HeartbeatClass.UNCONFIRMED
 
 
 def test_a_word_that_tells_no_start_goes_by_its_id() -> None:
-    assert known(5000).lives.judge(replace(FIRST, sequence=9)) is Claim.LATE
-    assert known(5000).lives.judge(replace(FIRST, sequence=10)) is Claim.CURRENT
+    assert known(5000).lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
+    assert known(5000).lives.classify(replace(FIRST, sequence=10)) is HeartbeatClass.CURRENT
 
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
@@ -165,10 +169,10 @@
     found = known(5000)
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=start))
     assert found.lives.current == RunnerIncarnation("i-1", start)
-    assert found.account is None
+    assert found.status is None
     assert found.state() is RunnerState.DOWN
-    assert found.lives.judge(born(5000, 10)) is Claim.LATE
-    assert found.lives.judge(born(7000)) is Claim.DOUBTFUL
+    assert found.lives.classify(born(5000, 10)) is HeartbeatClass.LATE
+    assert found.lives.classify(born(7000)) is HeartbeatClass.UNCONFIRMED
     found.runner_spoke(2.2, born(start))
     assert found.state() is RunnerState.READY
 
@@ -187,14 +191,14 @@
     found.runner_spoke(1.0, born(6000))
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=5000))
     assert found.lives.current == RunnerIncarnation("i-1", 5000)
-    assert found.lives.judge(born(6000, 2)) is Claim.DOUBTFUL
+    assert found.lives.classify(born(6000, 2)) is HeartbeatClass.UNCONFIRMED
 
 
 def test_an_id_that_has_left_serves_again_in_its_next_life() -> None:
     found = known(5000)
     found.runner_left(2.0, RunnerIncarnation("i-1", 5000))
-    assert found.lives.judge(born(5000, 10)) is Claim.LATE
-    assert found.lives.judge(born(6000)) is Claim.NEW
+    assert found.lives.classify(born(5000, 10)) is HeartbeatClass.LATE
+    assert found.lives.classify(born(6000)) is HeartbeatClass.NEW
 
 
 def test_a_word_of_an_end_that_names_no_start_is_believed_until_the_runner_says_otherwise() -> None:
@@ -212,19 +216,19 @@
     found = RunnerControl(lease_times(Bounds()))
     found.runner_spoke(1.0, FIRST)
     found.poll_answered(1.1, PollAnswer(1.05, [], []))
-    assert found.lives.judge(born(6000)) is Claim.DOUBTFUL
+    assert found.lives.classify(born(6000)) is HeartbeatClass.UNCONFIRMED
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
     assert found.lives.current == RunnerIncarnation("i-1", 6000)
-    assert found.lives.judge(born(6000)) is Claim.CURRENT
+    assert found.lives.classify(born(6000)) is HeartbeatClass.CURRENT
 
 
 @pytest.mark.parametrize("before", [[], [NEXT]], ids=["first_life", "next_life"])
-def test_lists_may_tell_a_start_that_heartbeats_do_not(before: list[RunnerAccount]) -> None:
+def test_lists_may_tell_a_start_that_heartbeats_do_not(before: list[RunnerStatus]) -> None:
     found = RunnerControl(lease_times(Bounds()))
-    for account in (*before, FIRST):
-        found.runner_spoke(1.0, account)
+    for status in (*before, FIRST):
+        found.runner_spoke(1.0, status)
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=6000))
-    assert found.account == FIRST
+    assert found.status == FIRST
     found.runner_spoke(1.2, replace(FIRST, sequence=6))
     assert found.lives.current == RunnerIncarnation("i-1", 6000)
     assert found.state() is RunnerState.READY
--- a/testing/core/leased/test_late_reads.py
+++ b/testing/core/leased/test_late_reads.py
@@ -7,7 +7,7 @@
     FinishedRun,
     PollAnswer,
     RunEnd,
-    RunnerAccount,
+    RunnerStatus,
     RunningRun,
     StartAnswer,
     StopRun,
@@ -28,7 +28,7 @@
     worker = Worker(lease_times(Bounds()))
     worker.runner_spoke(
         0.9,
-        RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
+        RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
@@ -81,7 +81,7 @@
     control = RunnerControl(lease_times(Bounds()))
     control.runner_spoke(
         0.9,
-        RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
+        RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
     control.poll_answered(0.95, PollAnswer(0.92, [], []))
     control.health.suspect(1.0)
--- a/testing/core/leased/test_leases.py
+++ b/testing/core/leased/test_leases.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import (
     PollAnswer,
-    RunnerAccount,
+    RunnerStatus,
     RunningRun,
     StartAnswer,
     StartRun,
@@ -56,10 +56,10 @@
 def worker() -> Worker:
     """A worker in session with two entries since 1.0, whose runner has room for eight tasks."""
     worker = Worker(TIMES)
-    account = RunnerAccount(
+    status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, account)
+    worker.runner_spoke(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
         worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
--- a/testing/core/leased/test_lost_looks.py
+++ b/testing/core/leased/test_lost_looks.py
@@ -6,7 +6,7 @@
 from leasedfleet import STEP, Fleet
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.losses import KEEP_SECONDS
-from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount, StartAnswer, StartRun
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus, StartAnswer, StartRun
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -64,8 +64,8 @@
     assert fleet.crashes.crashed[BAD] == 2
 
 
-def account(sequence: int = 1, *, leaving: bool = False) -> RunnerAccount:
-    return RunnerAccount(
+def status(sequence: int = 1, *, leaving: bool = False) -> RunnerStatus:
+    return RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", ROOM, leaving, None, sequence=sequence
     )
 
@@ -78,7 +78,7 @@
 def control() -> RunnerControl:
     """Give the control of a runner with one run at work."""
     control = RunnerControl(lease_times(Bounds()))
-    control.runner_spoke(0.0, account())
+    control.runner_spoke(0.0, status())
     control.poll_answered(0.1, PollAnswer(0.05, [], []))
     run = run_of(TASK)
     control.add(0.2, [run])
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.entrylink import REPORT_SECONDS
 from paddleshunt_core.leased.offers import OFFER_SECONDS
-from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
 from paddleshunt_core.leased.resources import NOTHING, Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, RunnerReport, Want
@@ -27,8 +27,8 @@
         self.now = 1.0
         self.worker = Worker(TIMES)
         room = Resources(6 * TASK.processor, 1000)
-        account = RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", room, False, None)
-        self.worker.runner_spoke(0.9, account)
+        status = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", room, False, None)
+        self.worker.runner_spoke(0.9, status)
         self.worker.poll_answered(0.95, PollAnswer(0.92, [], []))
         self.numbers = dict.fromkeys(ENTRIES, 1)
         for number, entry in enumerate(ENTRIES):
--- a/testing/core/leased/test_runnerlosses.py
+++ b/testing/core/leased/test_runnerlosses.py
@@ -4,7 +4,7 @@
 
 import pytest
 from msgspec.structs import replace
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.runnerlosses import RunnerLosses
@@ -19,8 +19,8 @@
 )
 
 ROOM = Resources(8000, 8000, 0)
-ACCOUNT = RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", ROOM, False, None)
-LEAVING = RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", ROOM, True, None)
+ACCOUNT = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", ROOM, False, None)
+LEAVING = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", ROOM, True, None)
 LOSS = LossId("i-1", 5000)
 TASKS = [TaskId("a", 0, 1), TaskId("b", 0, 0)]
 
--- a/testing/core/leased/test_sight.py
+++ b/testing/core/leased/test_sight.py
@@ -5,7 +5,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import (
     PollAnswer,
-    RunnerAccount,
+    RunnerStatus,
     RunningRun,
     StartAnswer,
     StartRun,
@@ -34,7 +34,7 @@
     """A worker in session with an entry since 1.0, whose runner was looked at."""
     worker = Worker(TIMES)
     worker.runner_spoke(
-        0.9, RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", NEED + NEED, False, None)
+        0.9, RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", NEED + NEED, False, None)
     )
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
--- a/testing/core/leased/test_accounts.py
+++ b/testing/core/leased/test_statuscheck.py
@@ -4,12 +4,12 @@
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
-GOOD = RunnerAccount(
+GOOD = RunnerStatus(
     RunnerIncarnation("i-1"), "svc", "hall", Resources(8, 8), False, None, ("a", "r1"), 1
 )
 CONTRADICTIONS = [
@@ -19,8 +19,8 @@
 ]
 
 
-def events(control: RunnerControl, account: RunnerAccount) -> list[str]:
-    effects = control.runner_spoke(1.0, account)
+def events(control: RunnerControl, status: RunnerStatus) -> list[str]:
+    effects = control.runner_spoke(1.0, status)
     return [getattr(effect, "event", "") for effect in effects]
 
 
@@ -33,24 +33,22 @@
 
 @pytest.mark.parametrize("odd", CONTRADICTIONS, ids=["service", "hall", "labels"])
 def test_one_word_moves_no_runner_out_of_its_pool(
-    control: RunnerControl, odd: RunnerAccount
+    control: RunnerControl, odd: RunnerStatus
 ) -> None:
     assert events(control, odd) == ["heartbeat_contradicts"]
-    assert control.account == GOOD
+    assert control.status == GOOD
     # Nor does its number make the runner's own next word a late one.
     same_number = replace(GOOD, sequence=2, capacity=Resources(4, 4))
     assert events(control, same_number) == ["runner_resized"]
-    assert control.account == same_number
+    assert control.status == same_number
 
 
 @pytest.mark.parametrize("odd", CONTRADICTIONS, ids=["service", "hall", "labels"])
-def test_what_is_said_twice_in_a_row_is_followed(
-    control: RunnerControl, odd: RunnerAccount
-) -> None:
+def test_what_is_said_twice_in_a_row_is_followed(control: RunnerControl, odd: RunnerStatus) -> None:
     control.runner_spoke(1.0, odd)
     again = replace(odd, sequence=3)
     assert events(control, again) == []
-    assert control.account == again
+    assert control.status == again
 
 
 def test_a_contradiction_between_sound_words_is_never_followed(control: RunnerControl) -> None:
@@ -59,10 +57,10 @@
             "heartbeat_contradicts"
         ]
         assert events(control, replace(GOOD, sequence=sequence + 1)) == []
-    assert control.account is not None and control.account.service == "svc"
+    assert control.status is not None and control.status.service == "svc"
 
 
 def test_another_life_may_have_another_service(control: RunnerControl) -> None:
     other = replace(CONTRADICTIONS[0], runner=RunnerIncarnation("i-2"))
     assert "heartbeat_contradicts" not in events(control, other)
-    assert control.account == other
+    assert control.status == other
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -9,7 +9,7 @@
     FinishedRun,
     PollAnswer,
     RunEnd,
-    RunnerAccount,
+    RunnerStatus,
     RunningRun,
     StartAnswer,
     StartRun,
@@ -38,10 +38,10 @@
 def working() -> Worker:
     """Return a worker that has just ordered `RUN`, at time 1.0."""
     worker = Worker(lease_times(Bounds()))
-    account = RunnerAccount(
+    status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, account)
+    worker.runner_spoke(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
@@ -179,10 +179,10 @@
     worker = Worker(lease_times(Bounds()))
     worker.poll_answered(1.0, PollAnswer(0.9, [], []))
     assert worker.next_poll(1.1).wait == 0
-    account = RunnerAccount(
+    status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(1.2, account)
+    worker.runner_spoke(1.2, status)
     worker.poll_answered(1.4, PollAnswer(1.3, [], []))
     assert worker.next_poll(1.5).wait > 0
 
@@ -190,10 +190,10 @@
 def full_worker(entries: tuple[str, ...]) -> Worker:
     """Return a worker whose runner has 1,000 of 8,000 left, with sessions from time 1.0."""
     worker = Worker(lease_times(Bounds()))
-    account = RunnerAccount(
+    status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, account)
+    worker.runner_spoke(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in entries:
         worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
@@ -332,10 +332,10 @@
 def test_a_short_stand_still_before_a_long_look_is_read_is_not_the_runners() -> None:
     """Under wide bounds a look may wait longer than a runner takes to count as hung."""
     worker = Worker(lease_times(Bounds(resend=4.0, hold_max=2.0, stop=0.2)))
-    account = RunnerAccount(
+    status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, account)
+    worker.runner_spoke(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 3200, 9000, [(0, 1), (1, 1)])
@@ -418,10 +418,10 @@
 
 def test_a_partial_answer_does_not_show_that_nothing_foreign_runs() -> None:
     worker = Worker(lease_times(Bounds()))
-    account = RunnerAccount(
+    status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, account)
+    worker.runner_spoke(0.9, status)
     worker.poll_answered(1.0, PollAnswer(0.95, [], [], partial=True))
     assert worker.next_poll(1.1).wait == 0
     worker.poll_answered(1.2, PollAnswer(1.1, [], []))
--- a/testing/council/test_late_heartbeats.py
+++ b/testing/council/test_late_heartbeats.py
@@ -5,8 +5,8 @@
 
 import pytest
 from councilsystem import BEAT, System, call, play, until, until_true
-from paddleshunt_core.leased.incarnations import Claim
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.incarnations import HeartbeatClass
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
@@ -20,8 +20,8 @@
     assert answer.status == expected
 
 
-def of_next(sequence: int) -> RunnerAccount:
-    return RunnerAccount(
+def of_next(sequence: int) -> RunnerStatus:
+    return RunnerStatus(
         RunnerIncarnation("i-2"), "svc", "hall", Resources(), False, None, sequence=sequence
     )
 
@@ -79,7 +79,7 @@
     async def scene(system: System) -> None:
         await system.open()
         await beat(system, "i-2", sequence=1)
-        await until_true(lambda: system.target._worker.judge(of_next(2)) is Claim.LATE)
+        await until_true(lambda: system.target._worker.classify(of_next(2)) is HeartbeatClass.LATE)
         await beat(system, "i-2", sequence=3, state="draining")
         await beat(system, "i-2", sequence=2)
         system.runner.life = "i-2"
--- a/testing/council/test_outside.py
+++ b/testing/council/test_outside.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from paddleshunt_core.leased.catalog import Catalog, Queue
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_council.callers import MAX_TASKS, Callers
 from paddleshunt_council.catalog import CatalogError, read_catalog
@@ -162,7 +162,7 @@
     refused: list[Refusal] = []
     read = Registration(refused.append).read(Request("POST", HEARTBEAT + "i-7", {}, body))
     assert refused or not isinstance(read, Response)
-    if isinstance(read, RunnerAccount):
+    if isinstance(read, RunnerStatus):
         # What is refused of an account that is followed is not in it.
         left_out = [read.remaining is None, read.cold == 0, read.labels == ()]
         assert len(refused) <= sum(left_out)
@@ -180,7 +180,7 @@
     body = json.dumps(BEAT).encode()
     request = Request("POST", path + runner, {}, body)
     read = Registration(refused.append).read(request)
-    if isinstance(read, RunnerAccount | RunnerEnds):
+    if isinstance(read, RunnerStatus | RunnerEnds):
         assert is_runner_id(read.runner.id) and not refused
     else:
         assert isinstance(read, Response) and read.status == 400 and refused
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from paddleshunt_core.leased.orders import RunnerAccount
+from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
@@ -23,7 +23,7 @@
 
 
 def test_a_heartbeat_is_an_account() -> None:
-    assert read("/paddleshunt/Instances.Heartbeat/i-7", BEAT) == RunnerAccount(
+    assert read("/paddleshunt/Instances.Heartbeat/i-7", BEAT) == RunnerStatus(
         RunnerIncarnation("i-7"),
         "s",
         "hall",
@@ -59,7 +59,7 @@
 
 def test_a_heartbeat_names_its_life() -> None:
     account = read(HEARTBEAT + "i-7", beat(born=17))
-    assert isinstance(account, RunnerAccount)
+    assert isinstance(account, RunnerStatus)
     assert account.runner == RunnerIncarnation("i-7", 17)
 
 
@@ -138,7 +138,7 @@
     request = Request("POST", HEARTBEAT + "i-7", {}, beat(**{field: value}))
     account = Registration(refused.append).read(request)
     assert account == read(HEARTBEAT + "i-7", beat(**{field: None}))
-    assert isinstance(account, RunnerAccount) and account.leaving
+    assert isinstance(account, RunnerStatus) and account.leaving
     assert [(one.word, one.sender) for one in refused] == [(Word.HEARTBEAT, "i-7")]
 
 
@@ -149,7 +149,7 @@
 
 def test_a_runner_may_say_that_it_has_no_room() -> None:
     account = read(HEARTBEAT + "i-7", beat(capacity={"cpu": 0, "mem_mb": 0}))
-    assert isinstance(account, RunnerAccount)
+    assert isinstance(account, RunnerStatus)
     assert account.capacity == Resources()
 
 
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -5,7 +5,7 @@
 import pytest
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.orders import PollAnswer, RunnerAccount
+from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
 from paddleshunt_core.leased.resources import NOTHING
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import Frame, Hello
@@ -112,7 +112,7 @@
     times = lease_times(Bounds())
     worker = Worker(times)
     worker.runner_spoke(
-        0.9, RunnerAccount(RunnerIncarnation("i-1"), "svc", "hall", NOTHING, False, None)
+        0.9, RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", NOTHING, False, None)
     )
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -17,7 +17,7 @@
 from paddleshunt_core.leased.dispatcher import AnswerJob, Dispatcher
 from paddleshunt_core.leased.jobs import JobRequest
 from paddleshunt_core.leased.orders import (
-    RunnerAccount,
+    RunnerStatus,
     StartAnswer,
     StartRun,
     StopRun,
@@ -385,7 +385,7 @@
         runner = self.runners[name]
         if runner.up and self.now >= self._beats.get(name, 0.0):
             self._beats[name] = self.now + 0.3
-            account = RunnerAccount(
+            account = RunnerStatus(
                 runner.named(name),
                 "svc",
                 "hall",
