--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -159,7 +159,7 @@
         """Start nothing more."""
         self.leaving = True
 
-    def runner_spoke(self, now: float, status: RunnerStatus) -> list[Effect]:
+    def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Follow the runner's account of itself, unless it is late; it may be of another life."""
         if self.lives.classify(status) is HeartbeatClass.LATE:
             self.lives.pass_over(status)
@@ -198,7 +198,7 @@
         left = round(status.cold * 1000)
         return [note("runner_cold", runner=str(status.runner), left_ms=left)]
 
-    def runner_left(self, now: float, life: RunnerIncarnation) -> list[Effect]:
+    def runner_deregistered(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
         current = self.lives.current
         if current is None or not self.lives.is_current(life):
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -139,7 +139,7 @@
         link = self._links.get(entry)
         return link.session if link else None
 
-    def opened(self, now: float, hello: Hello, said: float) -> list[Effect]:
+    def greeting_answered(self, now: float, hello: Hello, said: float) -> list[Effect]:
         """Take an entry's answer to the greeting that was sent at `said`.
 
         There is no session then if the one that the greeting named has ended since.
@@ -167,11 +167,11 @@
         session = self.session(entry)
         return 0.0 if session is None else session.confirmed_ms / 1000 + self._times.session - now
 
-    def closed(self, now: float, entry: str) -> list[Effect]:
+    def session_refused(self, now: float, entry: str) -> list[Effect]:
         """Take an entry's word that it doesn't go on with the session."""
         return self._end_session(now, entry, "refused") if self.session(entry) else []
 
-    def heard(self, now: float, entry: str, frame: Frame) -> list[Effect]:
+    def frame_received(self, now: float, entry: str, frame: Frame) -> list[Effect]:
         """Take a frame of an entry; one of an ended session is dropped.
 
         Nothing starts before all of the frame is known: it may withdraw what it assigns.
@@ -200,7 +200,7 @@
         for link in self._links.values():
             link.probe()
 
-    def silence(self, now: float, entry: str) -> float:
+    def seconds_silent(self, now: float, entry: str) -> float:
         """Return the seconds since an entry was heard."""
         link = self._links.get(entry)
         return now - link.heard if link else 0.0
@@ -219,26 +219,26 @@
         return self._control.lives.classify(status)
 
     @property
-    def life(self) -> RunnerIncarnation | None:
+    def incarnation(self) -> RunnerIncarnation | None:
         """The life of the runner that is followed."""
         return self._control.lives.current
 
     @property
-    def life_changes(self) -> int:
+    def incarnation_changes(self) -> int:
         """How often that has become another life, or none; one may also be told more of."""
         return self._control.lives.changes
 
-    def life_denied(self, life: RunnerIncarnation) -> None:
+    def incarnation_denied(self, life: RunnerIncarnation) -> None:
         """Note that the runner says it is not this life: it has ended, or is yet to come."""
         self._control.lives.deny(life)
 
-    def runner_spoke(self, now: float, status: RunnerStatus) -> list[Effect]:
+    def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Take the runner's account of itself."""
-        return self._control.runner_spoke(now, status)
+        return self._control.heartbeat_received(now, status)
 
-    def runner_left(self, now: float, life: RunnerIncarnation) -> list[Effect]:
+    def runner_deregistered(self, now: float, life: RunnerIncarnation) -> list[Effect]:
         """Take the runner's word that it ends now."""
-        return self._control.runner_left(now, life)
+        return self._control.runner_deregistered(now, life)
 
     def next_poll(self, now: float) -> Poll:
         """Return the look to send now; it counts as sent.
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -234,7 +234,7 @@
             self._claims.clear()
             name = str(runner_status.runner)
             self._around.event("runner_found", runner=name, service=runner_status.service)
-        self._act(self._worker.runner_spoke(self._now(), runner_status))
+        self._act(self._worker.heartbeat_received(self._now(), runner_status))
 
     async def _confirm(self, runner_status: RunnerStatus) -> None:
         """Follow another life than the known one if the runner says that it is this one.
@@ -252,7 +252,7 @@
         self._around.event(event, runner=str(runner_status.runner))
         claim = self._worker.classify(runner_status)
         if answer is False:
-            self._worker.life_denied(runner_status.runner)
+            self._worker.incarnation_denied(runner_status.runner)
         elif claim in (HeartbeatClass.NEW, HeartbeatClass.CURRENT) or (
             answer and claim is HeartbeatClass.UNCONFIRMED
         ):
@@ -260,22 +260,22 @@
 
     def _meet_life(self) -> None:
         """Mean the life that is followed now, if it is another one; ask again about claims."""
-        life = self._worker.life
-        if self._changes == self._worker.life_changes:
-            if life is not None and life != self._life_meant:
-                self._life_meant = life
-                self._runner.rename(life)
+        incarnation = self._worker.incarnation
+        if self._changes == self._worker.incarnation_changes:
+            if incarnation is not None and incarnation != self._life_meant:
+                self._life_meant = incarnation
+                self._runner.rename(incarnation)
             return
-        self._changes = self._worker.life_changes
-        self._life_meant = life
-        self._runner.expect(life)
+        self._changes = self._worker.incarnation_changes
+        self._life_meant = incarnation
+        self._runner.expect(incarnation)
         for runner_status in self._claims.all():
             self._around.spawn(self._confirm(runner_status))
 
     def _runner_ends(self, now: float, ends: RunnerEnds) -> None:
         self._around.event("runner_left", runner=str(ends.runner))
         self._claims.drop(ends.runner)
-        self._act(self._worker.runner_left(now, ends.runner))
+        self._act(self._worker.runner_deregistered(now, ends.runner))
 
     async def _look_for_ever(self) -> None:
         failures = 0
@@ -375,10 +375,10 @@
         self._names[self._dialer.address_of(link)] = hello.name
         said = self._said.pop(link, now)
         if not hello.session:
-            self._act(self._worker.closed(now, hello.name))
+            self._act(self._worker.session_refused(now, hello.name))
             link.close()
             return
-        self._act(self._worker.opened(now, hello, said))
+        self._act(self._worker.greeting_answered(now, hello, said))
         session = self._worker.session(hello.name)
         if session is None or session.number != hello.session:
             link.close()
@@ -400,7 +400,7 @@
                 joined = readable(body.joined, link.peer, self._around.refuse)
                 self._choice.changed(link.peer, joined, body.gone)
                 self._note_addresses(now, joined)
-        self._act(self._worker.heard(now, link.peer, frame))
+        self._act(self._worker.frame_received(now, link.peer, frame))
         if self._worker.session(link.peer) is None:
             link.close()
 
@@ -497,7 +497,7 @@
         held = self._worker.held_names()
         fallen_silent = False
         for name, link in list(self._links.items()):
-            silent = self._worker.silence(now, name)
+            silent = self._worker.seconds_silent(now, name)
             if silent > (self._times.session if name in held else self._times.idle_session):
                 self._choice.suspect(now, name)
             if self._worker.is_silent(now, name):
--- a/testing/core/leased/test_capacity.py
+++ b/testing/core/leased/test_capacity.py
@@ -25,9 +25,9 @@
 def worker() -> Worker:
     """A worker in session with an entry since 1.0, whose runner has room for four tasks."""
     worker = Worker(lease_times(Bounds()))
-    worker.runner_spoke(0.9, status(FULL, 1))
+    worker.heartbeat_received(0.9, status(FULL, 1))
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
 
@@ -38,7 +38,9 @@
     body = Assign(f"job{now}", 0, "spec", NEED, 400, 4000, [(index, 1) for index in range(tasks)])
     stamp = round(now * 1000)
     frame = Frame(session.received + 1, 0, stamp, stamp, [body])
-    return [effect for effect in worker.heard(now, "e", frame) if isinstance(effect, StartRun)]
+    return [
+        effect for effect in worker.frame_received(now, "e", frame) if isinstance(effect, StartRun)
+    ]
 
 
 def told(worker: Worker, now: float) -> list[object]:
@@ -52,7 +54,7 @@
 def test_orders_under_way_are_held_back_until_the_rest_fits(worker: Worker) -> None:
     """Four left together; the runner shrinks before any of them has been sent."""
     started = orders(worker, 1.1, 4)
-    worker.runner_spoke(1.11, status(HALF, 2))
+    worker.heartbeat_received(1.11, status(HALF, 2))
     sent = 0
     for order in started:
         if worker.may_send(1.12, order.run, "e"):
@@ -68,25 +70,27 @@
 def test_what_runs_goes_on_and_nothing_is_added_while_it_is_too_much(worker: Worker) -> None:
     for order in orders(worker, 1.1, 3):
         worker.start_answered(1.11, order.run, StartAnswer.STARTED)
-    assert not [e for e in worker.runner_spoke(1.2, status(HALF, 2)) if isinstance(e, StartRun)]
+    assert not [
+        e for e in worker.heartbeat_received(1.2, status(HALF, 2)) if isinstance(e, StartRun)
+    ]
     assert orders(worker, 1.21, 1) == []
     assert worker.runs == 3
 
 
 def test_a_room_that_has_shrunk_to_nothing_is_used_as_soon_as_it_is_back(worker: Worker) -> None:
-    worker.runner_spoke(1.1, status(Resources(), 2))
+    worker.heartbeat_received(1.1, status(Resources(), 2))
     assert orders(worker, 1.11, 1) == []
     reports = [body for body in told(worker, 1.2) if isinstance(body, RunnerReport)]
     assert reports[-1].free == Resources()
-    worker.runner_spoke(1.3, status(FULL, 3))
+    worker.heartbeat_received(1.3, status(FULL, 3))
     reports = [body for body in told(worker, 1.4) if isinstance(body, RunnerReport)]
     assert reports[-1].free == FULL
     assert len(orders(worker, 1.41, 4)) == 4
 
 
 def test_a_late_heartbeat_brings_no_old_room_back(worker: Worker) -> None:
-    worker.runner_spoke(1.1, status(HALF, 5))
-    worker.runner_spoke(1.2, status(FULL, 4))
+    worker.heartbeat_received(1.1, status(HALF, 5))
+    worker.heartbeat_received(1.2, status(FULL, 4))
     assert len(orders(worker, 1.3, 4)) == 2
 
 
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -114,9 +114,9 @@
 def worker(cold: float, overrun: float = 1.5) -> Worker:
     """Return a worker whose runner was cold for `cold` s yet at 0.9, in session with `e`."""
     made = Worker(lease_times(Bounds()), "a", overrun)
-    made.runner_spoke(0.9, status(cold))
+    made.heartbeat_received(0.9, status(cold))
     made.poll_answered(0.95, PollAnswer(0.92, [], []))
-    made.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    made.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return made
 
 
@@ -145,7 +145,7 @@
 ) -> None:
     made = worker(2.0)
     told(made, 1.0)
-    made.runner_spoke(1.4, status(cold))
+    made.heartbeat_received(1.4, status(cold))
     assert told(made, 1.4) == expected
 
 
@@ -155,7 +155,7 @@
 ) -> None:
     made = worker(2.0)
     told(made, 1.0)
-    made.runner_spoke(1.4, status(cold, "i-2"))
+    made.heartbeat_received(1.4, status(cold, "i-2"))
     made.poll_answered(1.45, PollAnswer(1.42, [], []))
     assert told(made, 1.5)[-1:] == [max(0, cold_ms - 100) for cold_ms in expected]
 
@@ -164,11 +164,11 @@
     made = worker(0.0)
     told(made, 1.0)
     frame = Frame(1, 0, 1000, 1000, [EvacuationNews(EvacuatedHalls(20, ("a",)))])
-    made.heard(1.0, "e", frame)
+    made.frame_received(1.0, "e", frame)
     # Heartbeats go on without the store; so does what another entry says of the hall.
-    made.runner_spoke(1.2, status(1.5))
+    made.heartbeat_received(1.2, status(1.5))
     back = Frame(2, 0, 1100, 1300, [EvacuationNews(EvacuatedHalls(21, ()))])
-    made.heard(1.3, "e", back)
+    made.frame_received(1.3, "e", back)
     made.prepare_frames(1.3)
     session = made.session("e")
     assert session is not None
@@ -210,7 +210,7 @@
 def test_a_cold_runners_runs_may_stand_still_for_longer(cold: float, *, stopped: bool) -> None:
     made = worker(cold, overrun=3.0)
     assign = Assign("job", 0, "spec", NEED, 400, 4000, [(0, 1), (1, 1)])
-    made.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
+    made.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
     runs = [RunId(TaskId("job", 0, n), 1) for n in (0, 1)]
     effects: list[object] = []
     at = 1.01
--- a/testing/core/leased/test_crashes.py
+++ b/testing/core/leased/test_crashes.py
@@ -162,7 +162,7 @@
         runner = fleet.runners[name]
         life = runner.named(name)
         runner.crash()
-        fleet.workers[name].runner_left(fleet.now, life)
+        fleet.workers[name].runner_deregistered(fleet.now, life)
     fleet.run(3.0)
     assert fleet.answers[caller] == Completed()
 
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -40,12 +40,12 @@
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, status)
+    worker.heartbeat_received(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     worker.prepare_frames(1.0)
     worker.next_frame(1.0, "e", beat=True)
-    worker.heard(1.001, "e", Frame(1, 1, 1001, 1000, []))
+    worker.frame_received(1.001, "e", Frame(1, 1, 1001, 1000, []))
     return worker
 
 
@@ -64,10 +64,10 @@
 
 
 def test_what_comes_after_the_lease_waits_for_an_echo_of_a_later_stamp(worker: Worker) -> None:
-    assert started(worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))) == []
+    assert started(worker.frame_received(2.0, "e", frame(1, 1.0, ASSIGN))) == []
     assert worker.next_frame(2.0, "e", beat=False) is not None
-    assert started(worker.heard(2.001, "e", frame(2, 1.0))) == []
-    assert started(worker.heard(2.002, "e", frame(2, 2.0))) == [RUN]
+    assert started(worker.frame_received(2.001, "e", frame(2, 1.0))) == []
+    assert started(worker.frame_received(2.002, "e", frame(2, 2.0))) == [RUN]
 
 
 @pytest.mark.parametrize(
@@ -77,25 +77,25 @@
     left: float, worker: Worker, *, starts: bool
 ) -> None:
     now = 1.0 + TIMES.session - left
-    assert (started(worker.heard(now, "e", frame(1, 1.0, ASSIGN))) == [RUN]) is starts
+    assert (started(worker.frame_received(now, "e", frame(1, 1.0, ASSIGN))) == [RUN]) is starts
     assert worker.next_frame(now, "e", beat=False) is not None or starts
-    assert (started(worker.heard(now + 0.002, "e", frame(2, now))) == [RUN]) is not starts
+    assert (started(worker.frame_received(now + 0.002, "e", frame(2, now))) == [RUN]) is not starts
 
 
 def test_what_is_withdrawn_in_the_frame_that_confirms_it_does_not_start(worker: Worker) -> None:
-    worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))
-    assert started(worker.heard(2.04, "e", frame(2, 2.0, Stop([RUN])))) == []
+    worker.frame_received(2.0, "e", frame(1, 1.0, ASSIGN))
+    assert started(worker.frame_received(2.04, "e", frame(2, 2.0, Stop([RUN])))) == []
 
 
 def test_an_assignment_and_its_withdrawal_that_come_again_together_start_nothing(
     worker: Worker,
 ) -> None:
     """As when a connection broke before both, and the session goes on over the next."""
-    assert started(worker.heard(2.0, "e", frame(1, 2.0, ASSIGN, Stop([RUN])))) == []
+    assert started(worker.frame_received(2.0, "e", frame(1, 2.0, ASSIGN, Stop([RUN])))) == []
 
 
 def test_what_is_not_confirmed_in_time_is_given_back(worker: Worker) -> None:
-    worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))
+    worker.frame_received(2.0, "e", frame(1, 1.0, ASSIGN))
     worker.tick(2.0 + TIMES.pending - 0.01)
     assert not [body for body in told(worker, 2.2) if isinstance(body, Ended)]
     worker.tick(2.0 + TIMES.pending + 0.01)
@@ -105,13 +105,13 @@
 
 def test_a_stand_still_longer_than_the_lease_leaves_nothing_to_start(worker: Worker) -> None:
     """The entry's echo was read in time by nobody."""
-    worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))
-    assert started(worker.heard(2.0 + TIMES.session + 0.01, "e", frame(2, 2.0))) == []
+    worker.frame_received(2.0, "e", frame(1, 1.0, ASSIGN))
+    assert started(worker.frame_received(2.0 + TIMES.session + 0.01, "e", frame(2, 2.0))) == []
 
 
 def test_no_more_is_kept_than_could_start(worker: Worker) -> None:
     many = Assign("job", 0, "spec", NEED, 1, 4000, [(n, 1) for n in range(MAX_PENDING + 3)])
-    worker.heard(2.0, "e", frame(1, 1.0, many))
+    worker.frame_received(2.0, "e", frame(1, 1.0, many))
     (ended,) = [body for body in told(worker, 2.0) if isinstance(body, Ended)]
     assert len(ended.ends) == 3
 
@@ -126,30 +126,30 @@
             count += 1
             session = worker.session("e")
             assert session is not None
-            worker.heard(now + 0.001, "e", frame(session.received + 1, now))
+            worker.frame_received(now + 0.001, "e", frame(session.received + 1, now))
     return count
 
 
 def test_heartbeats_are_many_only_while_the_session_is_held(worker: Worker) -> None:
     assert beats(worker, 1.2, 4.0) <= 4.0 / TIMES.idle_beat + 1
-    worker.heard(5.2, "e", frame(1, 5.2, ASSIGN))
+    worker.frame_received(5.2, "e", frame(1, 5.2, ASSIGN))
     worker.start_answered(5.201, RUN, StartAnswer.STARTED)
     assert beats(worker, 5.3, 4.0) >= 4.0 / TIMES.heartbeat - 1
 
 
 def test_a_session_is_held_until_the_entry_knows_how_its_last_run_ended(worker: Worker) -> None:
-    worker.heard(1.1, "e", frame(1, 1.1, ASSIGN))
+    worker.frame_received(1.1, "e", frame(1, 1.1, ASSIGN))
     worker.start_answered(1.101, RUN, StartAnswer.STARTED)
     assert worker.held_names() == {"e"}
     worker.poll_answered(1.2, PollAnswer(1.19, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
     assert any(isinstance(body, Ended) for body in told(worker, 1.2))
     assert worker.held_names() == {"e"}
-    worker.heard(1.202, "e", Frame(2, 99, 0, 1200, []))
+    worker.frame_received(1.202, "e", Frame(2, 99, 0, 1200, []))
     assert worker.held_names() == set()
 
 
 def test_an_idle_entry_hears_of_a_runner_that_leaves_at_once(worker: Worker) -> None:
-    worker.heard(1.01, "e", frame(1, 1.0))
+    worker.frame_received(1.01, "e", frame(1, 1.0))
     worker.leave(1.02)
     reports = [body for body in told(worker, 1.021) if isinstance(body, RunnerReport)]
     assert [report.state for report in reports] == [RunnerState.LEAVING]
@@ -164,7 +164,7 @@
 
 def test_the_runners_lease_is_renewed_only_while_something_is_at_work(worker: Worker) -> None:
     assert worker.next_poll(1.1).until is None
-    worker.heard(1.1, "e", frame(1, 1.1, ASSIGN))
+    worker.frame_received(1.1, "e", frame(1, 1.1, ASSIGN))
     assert worker.next_poll(1.11).until is not None
 
 
@@ -172,6 +172,6 @@
     """Without a connection, other sessions were preferred for a moment."""
     told(worker, 1.01)
     worker.retire(1.1, set())
-    worker.opened(1.2, Hello("e", "life", True, "hall", "", 1, 0), 1.19)
+    worker.greeting_answered(1.2, Hello("e", "life", True, "hall", "", 1, 0), 1.19)
     reports = [body for body in told(worker, 1.5) if isinstance(body, RunnerReport)]
     assert [report.state for report in reports] == [RunnerState.READY]
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -64,9 +64,9 @@
     account = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", hall, Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, account)
+    worker.heartbeat_received(0.9, account)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
 
@@ -80,7 +80,9 @@
 
 def test_an_assignment_to_an_evacuated_hall_is_given_back() -> None:
     worker = worker_in("a")
-    effects = worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationNews(HALL_A), ASSIGN]))
+    effects = worker.frame_received(
+        1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationNews(HALL_A), ASSIGN])
+    )
     assert not [effect for effect in effects if isinstance(effect, StartRun)]
     bodies = sent(worker, 1.01)
     assert Ended([(RUN, End.NOT_STARTED)]) in bodies
@@ -90,9 +92,9 @@
 
 def test_an_order_that_waits_to_be_sent_is_withdrawn_by_an_evacuation() -> None:
     worker = worker_in("a")
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     assert worker.may_send(1.0, RUN, "e")
-    worker.heard(1.001, "e", Frame(2, 0, 1001, 1001, [EvacuationNews(HALL_A)]))
+    worker.frame_received(1.001, "e", Frame(2, 0, 1001, 1001, [EvacuationNews(HALL_A)]))
     assert not worker.may_send(1.001, RUN, "e")
     worker.start_answered(1.002, RUN, StartAnswer.WITHDRAWN)
     assert Ended([(RUN, End.NOT_STARTED)]) in sent(worker, 1.01)
@@ -100,9 +102,9 @@
 
 def test_what_runs_in_an_evacuated_hall_goes_on() -> None:
     worker = worker_in("a")
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     worker.start_answered(1.001, RUN, StartAnswer.STARTED)
-    effects = worker.heard(1.002, "e", Frame(2, 0, 1002, 1002, [EvacuationNews(HALL_A)]))
+    effects = worker.frame_received(1.002, "e", Frame(2, 0, 1002, 1002, [EvacuationNews(HALL_A)]))
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
     assert worker.runs == 1
 
@@ -111,11 +113,11 @@
 def test_an_order_is_not_sent_once_its_stop_is_known(*, same_frame: bool) -> None:
     worker = worker_in("a")
     if same_frame:
-        effects = worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN, Stop([RUN])]))
+        effects = worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN, Stop([RUN])]))
         assert not [effect for effect in effects if isinstance(effect, StartRun)]
     else:
-        worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
-        worker.heard(1.0, "e", Frame(2, 0, 1000, 1000, [Stop([RUN])]))
+        worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
+        worker.frame_received(1.0, "e", Frame(2, 0, 1000, 1000, [Stop([RUN])]))
         assert not worker.may_send(1.0, RUN, "e")
         assert worker.start_answered(1.0, RUN, StartAnswer.WITHDRAWN)
     assert not worker.may_send(1.0, RUN, "e")
@@ -125,14 +127,16 @@
 def test_an_order_is_not_sent_once_its_entrys_session_is_over() -> None:
     times = lease_times(Bounds())
     worker = worker_in("a")
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     assert not worker.may_send(1.0 + times.session + 0.01, RUN, "e")
 
 
 def test_a_target_puts_an_entry_right_that_knows_less() -> None:
     worker = worker_in("a")
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationNews(HALL_A)]))
-    worker.heard(1.1, "e", Frame(2, 0, 1100, 1100, [EvacuationNews(EvacuatedHalls(10, ()))]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationNews(HALL_A)]))
+    worker.frame_received(
+        1.1, "e", Frame(2, 0, 1100, 1100, [EvacuationNews(EvacuatedHalls(10, ()))])
+    )
     assert EvacuationNews(HALL_A) in sent(worker, 1.11)
 
 
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -39,11 +39,11 @@
 def told(*sequences: int) -> list[int]:
     """Return which accounts of a life are followed that has said 5."""
     found = RunnerControl(lease_times(Bounds()))
-    found.runner_spoke(1.0, FIRST)
+    found.heartbeat_received(1.0, FIRST)
     followed: list[int] = []
     for at, sequence in enumerate(sequences):
         status = replace(FIRST, sequence=sequence)
-        found.runner_spoke(2.0 + at, status)
+        found.heartbeat_received(2.0 + at, status)
         if found.status is status:
             followed.append(sequence)
     return followed
@@ -103,7 +103,7 @@
 ) -> None:
     """It registered before it had its address: the look found the life before."""
     found = RunnerControl(lease_times(Bounds()))
-    found.runner_spoke(1.0, FIRST)
+    found.heartbeat_received(1.0, FIRST)
     if looked_at:
         found.poll_answered(1.1, PollAnswer(1.05, [], []))
     found.poll_failed(1.2, other_life=True)
@@ -113,8 +113,8 @@
 def control() -> RunnerControl:
     """Return the control of a runner that is in its second life."""
     found = RunnerControl(lease_times(Bounds()))
-    found.runner_spoke(1.0, FIRST)
-    found.runner_spoke(2.0, NEXT)
+    found.heartbeat_received(1.0, FIRST)
+    found.heartbeat_received(2.0, NEXT)
     return found
 
 
@@ -130,14 +130,14 @@
 )
 def test_a_late_account_changes_nothing(late: RunnerStatus) -> None:
     found = control()
-    found.runner_spoke(3.0, late)
+    found.heartbeat_received(3.0, late)
     assert found.status == NEXT
     assert found.state() is RunnerState.READY
 
 
 def test_a_late_word_of_an_earlier_lifes_end_changes_nothing() -> None:
     found = control()
-    assert found.runner_left(3.0, FIRST.runner) == []
+    assert found.runner_deregistered(3.0, FIRST.runner) == []
     assert found.status == NEXT
 
 
@@ -149,7 +149,7 @@
 def known(start: int) -> RunnerControl:
     """Return the control of a runner whose life has said 9 and has answered a look."""
     found = RunnerControl(lease_times(Bounds()))
-    found.runner_spoke(1.0, born(start, 9))
+    found.heartbeat_received(1.0, born(start, 9))
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=start))
     return found
 
@@ -173,7 +173,7 @@
     assert found.state() is RunnerState.DOWN
     assert found.lives.classify(born(5000, 10)) is HeartbeatClass.LATE
     assert found.lives.classify(born(7000)) is HeartbeatClass.UNCONFIRMED
-    found.runner_spoke(2.2, born(start))
+    found.heartbeat_received(2.2, born(start))
     assert found.state() is RunnerState.READY
 
 
@@ -188,7 +188,7 @@
 def test_a_life_heard_of_before_the_one_that_answers_may_be_yet_to_come() -> None:
     """The heartbeat of the next life may come before the last one's answer to a look is read."""
     found = RunnerControl(lease_times(Bounds()))
-    found.runner_spoke(1.0, born(6000))
+    found.heartbeat_received(1.0, born(6000))
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=5000))
     assert found.lives.current == RunnerIncarnation("i-1", 5000)
     assert found.lives.classify(born(6000, 2)) is HeartbeatClass.UNCONFIRMED
@@ -196,7 +196,7 @@
 
 def test_an_id_that_has_left_serves_again_in_its_next_life() -> None:
     found = known(5000)
-    found.runner_left(2.0, RunnerIncarnation("i-1", 5000))
+    found.runner_deregistered(2.0, RunnerIncarnation("i-1", 5000))
     assert found.lives.classify(born(5000, 10)) is HeartbeatClass.LATE
     assert found.lives.classify(born(6000)) is HeartbeatClass.NEW
 
@@ -204,17 +204,17 @@
 def test_a_word_of_an_end_that_names_no_start_is_believed_until_the_runner_says_otherwise() -> None:
     """It may be the late word of an earlier life under the id: what runs must go on."""
     found = known(5000)
-    found.runner_left(2.0, RunnerIncarnation("i-1"))
+    found.runner_deregistered(2.0, RunnerIncarnation("i-1"))
     assert found.lives.current == RunnerIncarnation("i-1", 5000)
     assert found.state() is RunnerState.LEAVING
-    found.runner_spoke(2.5, born(5000, 10))
+    found.heartbeat_received(2.5, born(5000, 10))
     assert found.state() is RunnerState.READY
 
 
 def test_a_life_that_tells_its_start_follows_one_that_told_none() -> None:
     """The runner's next software tells it."""
     found = RunnerControl(lease_times(Bounds()))
-    found.runner_spoke(1.0, FIRST)
+    found.heartbeat_received(1.0, FIRST)
     found.poll_answered(1.1, PollAnswer(1.05, [], []))
     assert found.lives.classify(born(6000)) is HeartbeatClass.UNCONFIRMED
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
@@ -226,10 +226,10 @@
 def test_lists_may_tell_a_start_that_heartbeats_do_not(before: list[RunnerStatus]) -> None:
     found = RunnerControl(lease_times(Bounds()))
     for status in (*before, FIRST):
-        found.runner_spoke(1.0, status)
+        found.heartbeat_received(1.0, status)
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=6000))
     assert found.status == FIRST
-    found.runner_spoke(1.2, replace(FIRST, sequence=6))
+    found.heartbeat_received(1.2, replace(FIRST, sequence=6))
     assert found.lives.current == RunnerIncarnation("i-1", 6000)
     assert found.state() is RunnerState.READY
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=5000))
--- a/testing/core/leased/test_late_reads.py
+++ b/testing/core/leased/test_late_reads.py
@@ -26,15 +26,15 @@
 def at_work() -> Worker:
     """Return a worker on which `RUNS` are known to be at work since 1.0."""
     worker = Worker(lease_times(Bounds()))
-    worker.runner_spoke(
+    worker.heartbeat_received(
         0.9,
         RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     tasks = [(run.task.index, 1) for run in RUNS]
     assign = Assign("job", 0, "spec", Resources(1000, 10), ESTIMATE_MS, 4000, tasks)
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
     for run in RUNS:
         worker.start_answered(1.0, run, StartAnswer.STARTED)
     return worker
@@ -79,7 +79,7 @@
     took: float, read: float, level: Health
 ) -> None:
     control = RunnerControl(lease_times(Bounds()))
-    control.runner_spoke(
+    control.heartbeat_received(
         0.9,
         RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None),
     )
--- a/testing/core/leased/test_leases.py
+++ b/testing/core/leased/test_leases.py
@@ -41,7 +41,7 @@
 def say(worker: Worker, entry: str, at: float, number: int, *bodies: Assign) -> list[object]:
     """Let an entry that is in touch say something."""
     stamp = round(at * 1000)
-    return list(worker.heard(at, entry, Frame(number, 0, stamp, stamp, list(bodies))))
+    return list(worker.frame_received(at, entry, Frame(number, 0, stamp, stamp, list(bodies))))
 
 
 def bodies(worker: Worker, entry: str, at: float) -> list[object]:
@@ -59,10 +59,10 @@
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, status)
+    worker.heartbeat_received(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
-        worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
+        worker.greeting_answered(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
 
--- a/testing/core/leased/test_lost_looks.py
+++ b/testing/core/leased/test_lost_looks.py
@@ -78,7 +78,7 @@
 def control() -> RunnerControl:
     """Give the control of a runner with one run at work."""
     control = RunnerControl(lease_times(Bounds()))
-    control.runner_spoke(0.0, status())
+    control.heartbeat_received(0.0, status())
     control.poll_answered(0.1, PollAnswer(0.05, [], []))
     run = run_of(TASK)
     control.add(0.2, [run])
@@ -108,5 +108,5 @@
     control.poll_failed(0.35)
     if given_up:
         control.poll_failed(5.0)
-    control.runner_left(5.1, RunnerIncarnation("i-1"))
+    control.runner_deregistered(5.1, RunnerIncarnation("i-1"))
     assert isinstance(control.losses.take_news()[-1], RunnerReturned)
--- a/testing/core/leased/test_odd_frames.py
+++ b/testing/core/leased/test_odd_frames.py
@@ -105,7 +105,7 @@
         dispatcher.heard(fleet.now, "t0", odd.frame(now_ms, dispatcher.session("t0")))
         dispatcher.place_waiting(fleet.now)
         dispatcher.tick(fleet.now)
-        worker.heard(fleet.now, "e0", odd.frame(now_ms, worker.session("e0")))
+        worker.frame_received(fleet.now, "e0", odd.frame(now_ms, worker.session("e0")))
         worker.tick(fleet.now)
         worker.prepare_frames(fleet.now)
         for session in (dispatcher.session("t0"), worker.session("e0")):
--- a/testing/core/leased/test_release.py
+++ b/testing/core/leased/test_release.py
@@ -62,7 +62,7 @@
         self.run(DRAIN_SECONDS, watched=name)
         life = self.fleet.runners[name].named(name)
         worker = self.fleet.workers[name]
-        self.fleet._act_target(name, worker.runner_left(self.fleet.now, life))
+        self.fleet._act_target(name, worker.runner_deregistered(self.fleet.now, life))
 
     def end(self) -> None:
         """Let all jobs end."""
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -28,11 +28,13 @@
         self.worker = Worker(TIMES)
         room = Resources(6 * TASK.processor, 1000)
         status = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", room, False, None)
-        self.worker.runner_spoke(0.9, status)
+        self.worker.heartbeat_received(0.9, status)
         self.worker.poll_answered(0.95, PollAnswer(0.92, [], []))
         self.numbers = dict.fromkeys(ENTRIES, 1)
         for number, entry in enumerate(ENTRIES):
-            self.worker.opened(1.0, Hello(entry, "life", True, "hall", "", number + 1, 0), 1.0)
+            self.worker.greeting_answered(
+                1.0, Hello(entry, "life", True, "hall", "", number + 1, 0), 1.0
+            )
         self.shown: dict[str, Resources] = {}
         if busy:
             runs = [(index, 1) for index in range(busy)]
@@ -41,7 +43,9 @@
 
     def hear(self, entry: str, body: Body) -> None:
         stamp = int(self.now * 1000)
-        self.worker.heard(self.now, entry, Frame(self.numbers[entry], 0, stamp, stamp, [body]))
+        self.worker.frame_received(
+            self.now, entry, Frame(self.numbers[entry], 0, stamp, stamp, [body])
+        )
         self.numbers[entry] += 1
 
     def want(self, entry: str, need: Resources, within_ms: int) -> None:
--- a/testing/core/leased/test_sight.py
+++ b/testing/core/leased/test_sight.py
@@ -33,22 +33,22 @@
 def worker() -> Worker:
     """A worker in session with an entry since 1.0, whose runner was looked at."""
     worker = Worker(TIMES)
-    worker.runner_spoke(
+    worker.heartbeat_received(
         0.9, RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", NEED + NEED, False, None)
     )
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
 
 
 def test_an_order_names_its_entry_and_when_it_was_decided(worker: Worker) -> None:
-    effects = worker.heard(1.1, "e", Frame(1, 0, 1100, 1000, [assign("job")]))
+    effects = worker.frame_received(1.1, "e", Frame(1, 0, 1100, 1000, [assign("job")]))
     orders = [effect for effect in effects if isinstance(effect, StartRun)]
     assert [(order.entry, order.decided) for order in orders] == [("e", 1.1)]
 
 
 def test_what_is_left_of_a_session_counts_from_the_newest_echo(worker: Worker) -> None:
-    worker.heard(1.3, "e", Frame(1, 0, 1300, 1200, []))
+    worker.frame_received(1.3, "e", Frame(1, 0, 1300, 1200, []))
     assert worker.session_left(1.3, "e") == pytest.approx(TIMES.session - 0.1)
     assert worker.session_left(1.3, "unknown") == 0.0
 
@@ -61,7 +61,7 @@
 
 
 def test_a_run_taken_for_lost_says_on_what_grounds(worker: Worker) -> None:
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign("job")]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign("job")]))
     effects = worker.poll_failed(2.5)
     assert lines(effects, "run_lapsed") == [
         {
@@ -76,12 +76,12 @@
 def test_an_assignment_given_back_says_why(worker: Worker) -> None:
     foreign = RunId(TaskId("other", 0, 0), 1)
     worker.poll_answered(1.05, PollAnswer(1.04, [RunningRun(foreign, 5)], []))
-    effects = worker.heard(1.1, "e", Frame(1, 0, 1100, 1050, [assign("job")]))
+    effects = worker.frame_received(1.1, "e", Frame(1, 0, 1100, 1050, [assign("job")]))
     assert [line["reason"] for line in lines(effects, "run_ended")] == ["foreign_runs"]
 
 
 def test_a_lost_runner_names_what_was_at_work_on_it_and_for_how_long(worker: Worker) -> None:
-    worker.heard(1.1, "e", Frame(1, 0, 1100, 1000, [assign("job")]))
+    worker.frame_received(1.1, "e", Frame(1, 0, 1100, 1000, [assign("job")]))
     worker.start_answered(1.102, RUN, StartAnswer.STARTED)
     worker.next_poll(1.12)
     worker.poll_failed(1.13)
--- a/testing/core/leased/test_statuscheck.py
+++ b/testing/core/leased/test_statuscheck.py
@@ -20,14 +20,14 @@
 
 
 def events(control: RunnerControl, status: RunnerStatus) -> list[str]:
-    effects = control.runner_spoke(1.0, status)
+    effects = control.heartbeat_received(1.0, status)
     return [getattr(effect, "event", "") for effect in effects]
 
 
 @pytest.fixture
 def control() -> RunnerControl:
     control = RunnerControl(lease_times(Bounds()))
-    control.runner_spoke(0.5, GOOD)
+    control.heartbeat_received(0.5, GOOD)
     return control
 
 
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("odd", CONTRADICTIONS, ids=["service", "hall", "labels"])
 def test_what_is_said_twice_in_a_row_is_followed(control: RunnerControl, odd: RunnerStatus) -> None:
-    control.runner_spoke(1.0, odd)
+    control.heartbeat_received(1.0, odd)
     again = replace(odd, sequence=3)
     assert events(control, again) == []
     assert control.status == again
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -41,11 +41,11 @@
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, status)
+    worker.heartbeat_received(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
-    effects = worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
+    effects = worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
     assert [effect.run for effect in effects if isinstance(effect, StartRun)] == [RUN]
     return worker
 
@@ -90,9 +90,9 @@
 
 def test_a_run_that_is_known_already_is_given_back() -> None:
     worker = working()
-    worker.opened(1.0, Hello("e2", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e2", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
-    effects = worker.heard(1.01, "e2", Frame(1, 0, 1010, 1010, [assign]))
+    effects = worker.frame_received(1.01, "e2", Frame(1, 0, 1010, 1010, [assign]))
     assert not [effect for effect in effects if isinstance(effect, StartRun)]
     worker.prepare_frames(1.02)
     session = worker.session("e2")
@@ -113,7 +113,7 @@
 def test_a_report_soon_after_another_waits() -> None:
     worker = working()
     assert len(reports(worker, 1.0)) == 1
-    worker.heard(1.01, "e", assignment(2, 1010, 1))
+    worker.frame_received(1.01, "e", assignment(2, 1010, 1))
     assert reports(worker, 1.01) == []
     due = worker.prepare_frames(1.01)
     assert due is not None
@@ -133,9 +133,9 @@
     times = lease_times(Bounds())
     worker = working()
     reports(worker, 1.0)
-    worker.heard(1.01, "e", assignment(2, 1010, 1))
+    worker.frame_received(1.01, "e", assignment(2, 1010, 1))
     calm = worker.prepare_frames(1.01)
-    worker.heard(1.02, "e", assignment(3, 1020, 5))
+    worker.frame_received(1.02, "e", assignment(3, 1020, 5))
     full = worker.prepare_frames(1.02)
     assert (calm, full) == (1.0 + times.heartbeat, 1.0 + REPORT_SECONDS)
 
@@ -145,7 +145,7 @@
     worker = working()
     worker.sheds = True
     reports(worker, 1.0)
-    worker.heard(1.02, "e", assignment(2, 1020, 6))
+    worker.frame_received(1.02, "e", assignment(2, 1020, 6))
     assert worker.prepare_frames(1.02) == 1.0 + times.heartbeat
     worker.start_answered(1.025, RUN, StartAnswer.STARTED)
     worker.poll_answered(1.03, PollAnswer(1.028, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
@@ -182,7 +182,7 @@
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(1.2, status)
+    worker.heartbeat_received(1.2, status)
     worker.poll_answered(1.4, PollAnswer(1.3, [], []))
     assert worker.next_poll(1.5).wait > 0
 
@@ -193,12 +193,12 @@
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, status)
+    worker.heartbeat_received(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in entries:
-        worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
+        worker.greeting_answered(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 400, 4000, [(n, 1) for n in range(7)])
-    worker.heard(1.0, entries[0], Frame(1, 0, 1000, 1000, [assign]))
+    worker.frame_received(1.0, entries[0], Frame(1, 0, 1000, 1000, [assign]))
     return worker
 
 
@@ -214,8 +214,8 @@
 def test_scarce_room_is_shown_to_the_entry_with_the_most_urgent_task_alone() -> None:
     worker = full_worker(("e0", "e1"))
     need = Resources(1000, 10)
-    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
+    worker.frame_received(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
+    worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
     assert shown(worker, "e1", 1.011) == [1000]
     assert shown(worker, "e0", 1.012) == [0]
 
@@ -223,8 +223,8 @@
 def test_room_that_an_entry_leaves_unused_is_shown_to_the_next() -> None:
     worker = full_worker(("e0", "e1"))
     need = Resources(1000, 10)
-    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
+    worker.frame_received(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
+    worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
     shown(worker, "e1", 1.011)
     assert worker.prepare_frames(1.012) is not None
     assert shown(worker, "e0", 1.012 + OFFER_SECONDS)[-1] == 1000
@@ -232,8 +232,8 @@
 
 def test_plenty_of_room_is_shown_to_all() -> None:
     worker = working()
-    worker.opened(1.0, Hello("e1", "life", True, "hall", "", 1, 0), 1.0)
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(Resources(1000, 10), 100)]))
+    worker.greeting_answered(1.0, Hello("e1", "life", True, "hall", "", 1, 0), 1.0)
+    worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(Resources(1000, 10), 100)]))
     assert shown(worker, "e", 1.2) == [7000]
     assert shown(worker, "e1", 1.4) == [7000]
 
@@ -241,10 +241,10 @@
 def test_room_that_an_entry_declines_is_shown_to_the_next_at_once() -> None:
     worker = full_worker(("e0", "e1"))
     need = Resources(1000, 10)
-    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
+    worker.frame_received(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
+    worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
     shown(worker, "e1", 1.011)
-    worker.heard(1.012, "e1", Frame(2, 0, 1012, 1012, [Decline()]))
+    worker.frame_received(1.012, "e1", Frame(2, 0, 1012, 1012, [Decline()]))
     assert shown(worker, "e0", 1.012)[-1] == 1000
 
 
@@ -258,7 +258,7 @@
     worker = full_worker(("e0", "e1"))
     shown(worker, "e1", 1.1)
     wide = Assign("wide", 0, "spec", Resources(5000, 10), 400, 4000, [(0, 1)])
-    worker.heard(1.2, "e1", Frame(1, 0, 1200, 1200, [wide]))
+    worker.frame_received(1.2, "e1", Frame(1, 0, 1200, 1200, [wide]))
     assert shown(worker, "e1", 1.2) == [1000]
 
 
@@ -305,7 +305,7 @@
 def two_runs_at_half() -> Worker:
     """Return a worker with two runs at work, half done at 1.2 as looks in a row show."""
     worker = working()
-    worker.heard(1.0, "e", assignment(2, 1000, 1))
+    worker.frame_received(1.0, "e", assignment(2, 1000, 1))
     second = RunId(TaskId("job2", 0, 0), 1)
     for run in (RUN, second):
         worker.start_answered(1.001, run, StartAnswer.STARTED)
@@ -335,11 +335,11 @@
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, status)
+    worker.heartbeat_received(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
-    worker.opened(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
+    worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 3200, 9000, [(0, 1), (1, 1)])
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
+    worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign]))
     runs = [RunId(TaskId("job", 0, index), 1) for index in (0, 1)]
     for run in runs:
         worker.start_answered(1.001, run, StartAnswer.STARTED)
@@ -359,7 +359,7 @@
     worker = working()
     second = RunId(TaskId("more", 0, 0), 1)
     more = Assign("more", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
-    worker.heard(1.001, "e", Frame(2, 0, 1001, 1001, [more]))
+    worker.frame_received(1.001, "e", Frame(2, 0, 1001, 1001, [more]))
     if seen_by == "answer":
         for run in (RUN, second):
             worker.start_answered(1.27, run, StartAnswer.STARTED)
@@ -378,9 +378,9 @@
     worker.tick(1.0 + lease_times(Bounds()).session + 0.01)
     assert worker.session("e") is None
     worker.poll_answered(1.6, PollAnswer(1.5, [], [FinishedRun(1, RUN, RunEnd.STOPPED)]))
-    worker.opened(1.7, Hello("e", "life", True, "hall", "", 1, 0), 1.45)
+    worker.greeting_answered(1.7, Hello("e", "life", True, "hall", "", 1, 0), 1.45)
     assert worker.session("e") is None
-    worker.opened(1.8, Hello("e", "life", True, "hall", "", 2, 0), 1.75)
+    worker.greeting_answered(1.8, Hello("e", "life", True, "hall", "", 2, 0), 1.75)
     assert worker.session("e") is not None
 
 
@@ -421,7 +421,7 @@
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
     )
-    worker.runner_spoke(0.9, status)
+    worker.heartbeat_received(0.9, status)
     worker.poll_answered(1.0, PollAnswer(0.95, [], [], partial=True))
     assert worker.next_poll(1.1).wait == 0
     worker.poll_answered(1.2, PollAnswer(1.1, [], []))
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silence.py
@@ -111,14 +111,14 @@
     """They often fall silent together; heartbeats of idle sessions are far apart."""
     times = lease_times(Bounds())
     worker = Worker(times)
-    worker.runner_spoke(
+    worker.heartbeat_received(
         0.9, RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", NOTHING, False, None)
     )
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
-        worker.opened(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
+        worker.greeting_answered(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
         assert worker.next_frame(1.0, entry, beat=True) is not None
-        worker.heard(1.001, entry, Frame(1, 0, 1000, 1000, []))
+        worker.frame_received(1.001, entry, Frame(1, 0, 1000, 1000, []))
     assert worker.next_frame(1.3, "b", beat=True) is None
     worker.probe()
     assert worker.next_frame(1.3, "b", beat=True) is not None
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -336,11 +336,11 @@
         worker = self.workers[target]
         link.heard = self.now
         if isinstance(message, Frame):
-            self._act_target(target, worker.heard(self.now, entry, message))
+            self._act_target(target, worker.frame_received(self.now, entry, message))
         elif message.session:
-            self._act_target(target, worker.opened(self.now, message, link.said))
+            self._act_target(target, worker.greeting_answered(self.now, message, link.said))
         else:
-            self._act_target(target, worker.closed(self.now, entry))
+            self._act_target(target, worker.session_refused(self.now, entry))
         session = worker.session(entry)
         refused = isinstance(message, Hello) and session and session.number != message.session
         if session is None or refused:
@@ -396,7 +396,7 @@
                 cold=max(0.0, runner.cold_until - self.now),
                 kind=runner.kind,
             )
-            self._act_target(name, worker.runner_spoke(self.now, account))
+            self._act_target(name, worker.heartbeat_received(self.now, account))
         self._act_target(name, worker.tick(self.now))
         look = worker.next_poll(self.now)
         call = self._call(name)
