--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("account", "expected"),
+    ("status", "expected"),
     [
         (replace(FIRST, sequence=6), HeartbeatClass.CURRENT),
         (replace(FIRST, sequence=0), HeartbeatClass.CURRENT),
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -64,7 +64,7 @@
 class Call:
     """What a target's call bears: the life that it means, none for any, and its token."""
 
-    life: RunnerIncarnation | None
+    incarnation: RunnerIncarnation | None
     token: int
 
 
@@ -402,7 +402,7 @@
         call = self._call(name)
         if not runner.up or runner.mute:
             self._act_target(name, worker.poll_failed(self.now))
-        elif call.life is not None and not call.life.has_same_id(runner.named(name)):
+        elif call.incarnation is not None and not call.incarnation.has_same_id(runner.named(name)):
             self._act_target(name, worker.poll_failed(self.now, other_life=True))
         elif not runner.hears(call.token):
             self._act_target(name, worker.poll_failed(self.now))
@@ -413,13 +413,17 @@
 
     def _call(self, name: str) -> Call:
         """Return what a call that a target makes now bears: the life it means, and its token."""
-        life, last = self.workers[name].life, self._calls[name]
-        if life != last.life:
-            before = None if life is None else self._meant.get((name, life.id))
-            returned = life is not None and before is not None and not life.may_be_same(before)
-            self._calls[name] = Call(life, last.token + returned)
-            if life is not None:
-                self._meant[name, life.id] = life
+        incarnation, last = self.workers[name].incarnation, self._calls[name]
+        if incarnation != last.incarnation:
+            before = None if incarnation is None else self._meant.get((name, incarnation.id))
+            returned = (
+                incarnation is not None
+                and before is not None
+                and not incarnation.may_be_same(before)
+            )
+            self._calls[name] = Call(incarnation, last.token + returned)
+            if incarnation is not None:
+                self._meant[name, incarnation.id] = incarnation
         return self._calls[name]
 
     def _until(self, name: str, call: Call, until: float) -> float:
@@ -427,7 +431,7 @@
 
         Another life's clock starts anew: it is far behind, and the lease is cut to the longest.
         """
-        meant, runner = call.life, self.runners[name]
+        meant, runner = call.incarnation, self.runners[name]
         if meant is None or meant == runner.named(name):
             return until
         return self.now + self.bounds.hold_max
@@ -435,7 +439,7 @@
     def _start(self, name: str, call: Call, order: StartRun) -> StartAnswer:
         """Let a runner carry an order out that was meant so."""
         runner = self.runners[name]
-        if call.life is not None and not call.life.has_same_id(runner.named(name)):
+        if call.incarnation is not None and not call.incarnation.has_same_id(runner.named(name)):
             return StartAnswer.OTHER_LIFE
         meant = replace(order, until=self._until(name, call, order.until))
         return runner.start(self.now, meant, call.token)
