--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
@@ -1,7 +1,7 @@
-"""Runs on a runner that this life of its target has not ordered: nothing starts beside them.
+"""Runs on a runner that this process has not ordered; nothing is started beside them.
 
-An earlier life of the target may have left some. A full list of the runner shows that none is
-there; one with rows that can't be read does not, but what an earlier life ordered loses its lease.
+An earlier process of the target may have left some. A complete list of the runner's runs shows that
+there are none. A list with unreadable rows does not; then the leases of earlier orders must end.
 """
 
 from collections.abc import Container, Iterator
@@ -15,18 +15,18 @@
 
 @final
 class ForeignRuns:
-    """What is known of foreign runs on one life of a runner; times are own steady seconds."""
+    """Foreign runs on one incarnation of a runner; times are steady seconds of this process."""
 
     def __init__(self, times: LeaseTimes, lease: RunnerLease) -> None:
         self._times = times
         self._lease = lease
         self._runs: set[RunId] = set()
-        self._met: float | None = None
-        """When the life was met; with the first look of this process if nothing told of it."""
+        self._known_since: float | None = None
+        """Time at which the incarnation became known, at the latest that of the first poll."""
         self._paused = 0.0
-        """Seconds since then for which the runner's clock may not have moved."""
+        """Seconds since then for which the runner's clock may have stopped."""
         self.clean = False
-        """Whether this life of the runner was seen with none, or none can be left."""
+        """Whether this incarnation has been shown to have none, or can have none left."""
 
     def __bool__(self) -> bool:
         return bool(self._runs)
@@ -34,33 +34,33 @@
     def __iter__(self) -> Iterator[RunId]:
         return iter(self._runs)
 
-    def meet(self, now: float) -> None:
-        """Trust nothing before a look that is sent from now on; another life may be there."""
+    def reset(self, now: float) -> None:
+        """Discard what is known; only polls sent from now on count."""
         self._runs = set()
         self.clean = False
-        self._met = now
+        self._known_since = now
         self._paused = 0.0
 
-    def is_met_by(self, answer: PollAnswer) -> bool:
-        """Whether an answer is to a look that was sent since this life was met."""
-        return self._met is None or answer.sent >= self._met
+    def is_after_reset(self, answer: PollAnswer) -> bool:
+        """Whether an answer is to a poll that was sent since the last reset."""
+        return self._known_since is None or answer.sent >= self._known_since
 
-    def stood_still(self, seconds: float) -> None:
-        """Note that the runner's clock may not have moved for so long."""
+    def clock_paused(self, seconds: float) -> None:
+        """Note that the runner's clock may have stopped for so long."""
         self._paused += seconds
 
-    def read(self, answer: PollAnswer, ordered: Container[RunId]) -> None:
-        """Take the runner's lists; `ordered` are the runs of this life of the target."""
+    def update(self, answer: PollAnswer, ordered: Container[RunId]) -> None:
+        """Take in the runner's lists; `ordered` are the runs that this process ordered."""
         ended = {row.run for row in answer.finished}
         listed = {row.run for row in answer.running}
         self._runs = {run for run in listed if run not in ordered and run not in ended}
-        if self._runs or self.clean or not self.is_met_by(answer):
+        if self._runs or self.clean or not self.is_after_reset(answer):
             return
-        if self._met is None:
-            self._met = answer.sent
-        self.clean = not answer.partial or self._can_have_none(self._met, answer.sent)
+        if self._known_since is None:
+            self._known_since = answer.sent
+        self.clean = not answer.partial or self._must_have_ended(self._known_since, answer.sent)
 
-    def _can_have_none(self, met: float, now: float) -> bool:
-        """Whether all leases are over that were granted before `met`, or by this life since."""
-        left_by_earlier = met + self._paused + self._times.strayed + self._times.overrun
-        return now > left_by_earlier and self._lease.has_killed(now)
+    def _must_have_ended(self, known_since: float, now: float) -> bool:
+        """Whether all leases granted before `known_since`, or by this process, have ended."""
+        earlier_leases_end = known_since + self._paused + self._times.strayed + self._times.overrun
+        return now > earlier_leases_end and self._lease.has_surely_expired(now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
@@ -1,14 +1,13 @@
-"""Which life of a runner a heartbeat speaks for: it may be late, or from a life that has ended.
+"""Tracks the incarnations of a runner and tells current heartbeats from late ones.
 
-A cut can hold a heartbeat back until its sender has crashed and another life has registered at the
-same address, under the same id even. So only a life that is not known to have ended is followed,
-and one that would replace a known life is followed once the runner itself has said which of them
-it is: its lists of runs say whose they are. Nothing else orders lives, as hosts' clocks may be set.
-One that is denied so may be the next life all the same, which registers while the last one drains:
-it is heard again once that has ended.
+A network partition can delay a heartbeat until its sender has crashed and another incarnation has
+registered at the same address, even under the same id. So an incarnation that has ended is never
+accepted again, and one that would replace the current one is accepted only once the runner's own
+answers name it. Incarnations have no other order, as hosts' clocks may be set. A denied one may be
+the next, registered while the current one drains: it is considered again when that one has ended.
 
-A number far ahead may be another writer's: followed, it would make all that the life says seem
-late. So one counts only if the account of that life before it was as far ahead, and earlier.
+A sequence number far ahead may come from another process; accepted, it would make the incarnation's
+own heartbeats look late. So it is accepted only after another one as far ahead, but smaller.
 """
 
 from collections import deque
@@ -18,23 +17,23 @@
 from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
-PAST_LIVES = 32
-"""Ended lives that are remembered: some per day, and a cut holds a heartbeat back for seconds."""
+MAX_REMEMBERED = 32
+"""Maximum number of ended incarnations remembered; partitions delay heartbeats by seconds."""
 
 
-MOST_SKIPPED = 16
-"""Accounts of a life that may go missing in a row: some 20 s, longer than cuts usually last.
+MAX_SEQUENCE_GAP = 16
+"""Maximum increase of the sequence number between heartbeats that is accepted at once.
 
-After a longer one the second account is followed, and so is each second one of a life that counts
-in wider steps. For so many accounts another writer's number can make the life's own seem late.
+After a larger gap the second heartbeat is accepted. It also bounds how many of an incarnation's own
+heartbeats another process's number can make look late.
 """
 
 
 class HeartbeatClass(Enum):
-    """What a heartbeat is worth.
+    """How a heartbeat relates to the current incarnation.
 
-    CURRENT: news of the known life. NEW: of the first one known. DOUBTFUL: of another life than the
-    known one; the runner has to confirm it. LATE: nothing to go by.
+    CURRENT: newer status of it. NEW: there is no current one. UNCONFIRMED: of another incarnation,
+    which the runner has to confirm. LATE: outdated, to be ignored.
     """
 
     CURRENT = auto()
@@ -45,28 +44,28 @@
 
 @final
 class Incarnations:
-    """The lives of one runner: the one that is followed, and those that have ended."""
+    """The current, the ended and the denied incarnations of one runner."""
 
     def __init__(self) -> None:
         self._current: RunnerIncarnation | None = None
         self.changes = 0
-        """How often another life has been followed than before, or none any more."""
-        self._tells_none = False
-        """Whether its own lists did not say when it started: a life that says so is another."""
+        """How often the current incarnation has been replaced or has ended."""
+        self._has_no_start = False
+        """Whether its answers carried no start time; an incarnation with one is another."""
         self._sequence = 0
-        self._leap: int | None = None
-        """The number of the last account, if it was far ahead of those before."""
-        self._past: deque[RunnerIncarnation] = deque(maxlen=PAST_LIVES)
-        self._denied: deque[RunnerIncarnation] = deque(maxlen=PAST_LIVES)
-        """Lives that the runner has denied to be while the followed one lives."""
+        self._far: int | None = None
+        """Sequence number of the last ignored heartbeat, if it was too far ahead."""
+        self._ended: deque[RunnerIncarnation] = deque(maxlen=MAX_REMEMBERED)
+        self._denied: deque[RunnerIncarnation] = deque(maxlen=MAX_REMEMBERED)
+        """Incarnations that the runner has denied to be while the current one lasts."""
 
     @property
     def current(self) -> RunnerIncarnation | None:
-        """The life that is followed; it may not have given an account of itself yet."""
+        """The current incarnation; it may not have sent a heartbeat yet."""
         return self._current
 
     def classify(self, status: RunnerStatus) -> HeartbeatClass:
-        """Return what an account that has just come is worth."""
+        """Return how a received heartbeat relates to the current incarnation."""
         if self._has_ended(status.runner):
             return HeartbeatClass.LATE
         if self._current is None:
@@ -75,71 +74,73 @@
             return (
                 HeartbeatClass.LATE if status.runner in self._denied else HeartbeatClass.UNCONFIRMED
             )
-        if 0 < status.sequence <= self._sequence or not self._goes_on(status):
+        if 0 < status.sequence <= self._sequence or not self._is_in_sequence(status):
             return HeartbeatClass.LATE
         return HeartbeatClass.CURRENT
 
-    def _goes_on(self, status: RunnerStatus) -> bool:
-        """Whether its number is near, or follows another far one; the first may have any."""
-        if not self._sequence or status.sequence <= self._sequence + MOST_SKIPPED:
+    def _is_in_sequence(self, status: RunnerStatus) -> bool:
+        """Whether its number is near the last, or follows another far one; the first may be any."""
+        if not self._sequence or status.sequence <= self._sequence + MAX_SEQUENCE_GAP:
             return True
-        return self._leap is not None and status.sequence > self._leap
+        return self._far is not None and status.sequence > self._far
 
-    def pass_over(self, status: RunnerStatus) -> None:
-        """Note an account that was judged late: the next one may go on from a number far ahead."""
+    def note_late(self, status: RunnerStatus) -> None:
+        """Note a late heartbeat: if its number is far ahead, the next one may continue from it."""
         if not self.is_current(status.runner) or status.sequence <= self._sequence:
             return
-        if self._leap is None or not 0 <= self._leap - status.sequence <= MOST_SKIPPED:
-            self._leap = status.sequence
+        if self._far is None or not 0 <= self._far - status.sequence <= MAX_SEQUENCE_GAP:
+            self._far = status.sequence
 
-    def is_current(self, life: RunnerIncarnation) -> bool:
-        """Whether a life may be the one that is followed, as far as both are told."""
-        if self._current is None or (self._tells_none and life.born):
+    def is_current(self, incarnation: RunnerIncarnation) -> bool:
+        """Whether this may be the current incarnation, as far as their start times are known."""
+        if self._current is None or (self._has_no_start and incarnation.born):
             return False
-        return self._current.may_be_same(life)
+        return self._current.may_be_same(incarnation)
 
     def follow(self, status: RunnerStatus) -> None:
-        """Follow the life that an account is of."""
-        self.meet(status.runner)
-        self._leap = None
+        """Accept a heartbeat: its sender becomes the current incarnation."""
+        self.set_current(status.runner)
+        self._far = None
         self._sequence = max(self._sequence, status.sequence)
 
-    def answered_as(self, life: RunnerIncarnation) -> None:
-        """Follow the life that the runner itself has said to be in its lists."""
-        self.meet(life)
-        self._tells_none = self._current is not None and not self._current.born
+    def confirm(self, incarnation: RunnerIncarnation) -> None:
+        """Make current the incarnation that the runner's own answer names."""
+        self.set_current(incarnation)
+        self._has_no_start = self._current is not None and not self._current.born
 
-    def meet(self, life: RunnerIncarnation) -> None:
-        """Follow a life, or learn more of the one that is followed."""
-        if not self.is_current(life):
-            self.end()
-            self._current = life
+    def set_current(self, incarnation: RunnerIncarnation) -> None:
+        """Make an incarnation current, or learn the start time of the current one."""
+        if not self.is_current(incarnation):
+            self.end_current()
+            self._current = incarnation
             self.changes += 1
-        elif life.born:
-            self._current = life
+        elif incarnation.born:
+            self._current = incarnation
 
-    def end(self, *, answered: bool = True) -> None:
-        """Note that the followed life has ended; one that never `answered` may yet come."""
+    def end_current(self, *, answered: bool = True) -> None:
+        """Note that the current incarnation has ended; one that never `answered` may yet start."""
         if self._current is not None and answered:
-            self.note_ended(self._current)
+            self.mark_ended(self._current)
         if self._current is not None:
             self.changes += 1
         self._current = None
-        self._tells_none = False
+        self._has_no_start = False
         self._sequence = 0
-        self._leap = None
+        self._far = None
         self._denied.clear()
 
-    def deny(self, life: RunnerIncarnation) -> None:
-        """Note that the runner says it is not this life: it may be the one after the followed."""
-        if life not in self._denied:
-            self._denied.append(life)
-
-    def note_ended(self, life: RunnerIncarnation) -> None:
-        """Note that a life has ended; it is never followed again."""
-        if life not in self._past:
-            self._past.append(life)
-
-    def _has_ended(self, life: RunnerIncarnation) -> bool:
-        """Whether a life is known to have ended; one that doesn't tell its start goes by its id."""
-        return life in self._past or (not life.born and any(map(life.may_be_same, self._past)))
+    def deny(self, incarnation: RunnerIncarnation) -> None:
+        """Note that the runner denied to be this incarnation, which may still be the next one."""
+        if incarnation not in self._denied:
+            self._denied.append(incarnation)
+
+    def mark_ended(self, incarnation: RunnerIncarnation) -> None:
+        """Note that an incarnation has ended; its heartbeats are late from now on."""
+        if incarnation not in self._ended:
+            self._ended.append(incarnation)
+
+    def _has_ended(self, incarnation: RunnerIncarnation) -> bool:
+        """Whether an incarnation has ended; one without a start time is matched by its id."""
+        return incarnation in self._ended or (
+            not incarnation.born and any(map(incarnation.may_be_same, self._ended))
+        )
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
@@ -1,4 +1,4 @@
-"""What a target asks of its runner, and what the runner may answer."""
+"""Orders and polls that a target sends to its runner, and the runner's answers."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -12,7 +12,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RunnerStatus:
-    """What a runner says of itself: its life, pool, size and whether it is leaving."""
+    """What a heartbeat reports of a runner: its identity, pool, capacity and whether it leaves."""
 
     runner: RunnerIncarnation
     service: str
@@ -20,25 +20,24 @@
     capacity: Resources
     leaving: bool
     remaining: float | None
-    """Seconds until it leaves at the earliest; None if it didn't say."""
+    """Minimum seconds until it leaves; None if unknown."""
     labels: tuple[str, ...] = ()
-    """Kind and rack of its host."""
+    """Labels of its host, such as kind and rack."""
     sequence: int = 0
-    """Rises with each account of one life; 0 if it is not told."""
+    """Increases with each heartbeat of an incarnation; 0 if unknown."""
     cold: float = 0.0
-    """Seconds for which it stays slow yet, after its start."""
+    """Remaining seconds of its warm-up, during which it is slow."""
     kind: str = ""
-    """The label that says what kind of host it is; empty if none does."""
+    """The label that names the kind of its host; empty if there is none."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Order the runner to start a run of an entry.
+    """Order to start a run for an entry.
 
-    `decided` and `until` are steady seconds of this process: when it was decided, and when its
-    lease ends. The lease counts from the decision, whenever the order leaves: what gave the right
-    to it may be over by then.
+    `decided` and `until` are the times of the decision and of the end of the run's lease, in steady
+    seconds of this process. The lease runs from the decision, even if the order is sent later.
     """
 
     run: RunId
@@ -51,7 +50,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StopRun:
-    """Order the runner to stop a run, and to refuse it if its start comes later."""
+    """Order to stop a run, and to refuse it if its start arrives later."""
 
     run: RunId
 
@@ -59,18 +58,18 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Supersede:
-    """Have the runner refuse what it was ordered until now and has not carried out yet."""
+    """Order to refuse all earlier orders that have not been executed yet."""
 
 
 Order = StartRun | StopRun | Supersede
 
 
 class StartAnswer(Enum):
-    """What became of an order to start.
+    """Outcome of an order to start.
 
-    UNKNOWN: no answer; it may have been done, or may be done yet. NOT_SENT: it never left.
-    EXPIRED: it never left, as its lease was over. WITHDRAWN: it never left, as it was not wanted
-    or not allowed any more.
+    UNKNOWN: no answer; the order may have been executed, or may yet be. NOT_SENT: it was not sent.
+    EXPIRED: not sent, as its lease had ended. WITHDRAWN: not sent, as the run had become unwanted
+    or forbidden.
     """
 
     STARTED = "started"
@@ -88,7 +87,7 @@
 
 
 class RunEnd(Enum):
-    """How the runner says a run ended."""
+    """How a run ended according to the runner."""
 
     DONE = "done"
     FAILED = "failed"
@@ -99,7 +98,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RunningRun:
-    """A run at work: `percent` of it is done."""
+    """A running run of which `percent` is done."""
 
     run: RunId
     percent: int
@@ -108,7 +107,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class FinishedRun:
-    """An end in the runner's list; `number` counts the ends of the runner's life."""
+    """A listed end; `number` counts the ends of the runner's incarnation."""
 
     number: int
     run: RunId
@@ -118,10 +117,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """A look to send: acknowledge ends up to `last_seen`, and wait for one up to `wait` s.
+    """A long poll of the runner's lists of runs.
 
-    `until` is when the lease that it renews ends, in steady seconds of this process; None to leave
-    the lease as it is.
+    It acknowledges ends up to `last_seen` and waits up to `wait` seconds for another. `until` is
+    the new end of the runner's lease, in steady seconds of this process; None for no renewal.
     """
 
     last_seen: int
@@ -132,12 +131,12 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PollAnswer:
-    """The runner's answer to a `Poll` that was sent at `sent` (own steady clock, s).
+    """The runner's answer to a `Poll` that was sent at `sent` (steady seconds of this process).
 
-    `partial`: some of it could not be read, so a run that it doesn't show may be there as well.
-    `listed` is the highest number of an end that it lists, also of one that is no run of ours.
-    `unread_end`: it lists an end of which the run could not be read, so any run may have ended.
-    `born` says which life of the id that was asked gave it (ms since 1970); 0: that is not told.
+    `partial`: some rows could not be read, so runs that are not listed may be there as well.
+    `listed`: the highest number of a listed end, including ends of other targets' runs.
+    `unread_end`: the run of a listed end could not be read, so any run may have ended.
+    `born`: start time of the incarnation that answered (ms since 1970); 0 if unknown.
     """
 
     sent: float
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/progress.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/progress.py
@@ -1,80 +1,92 @@
-"""What a run's progress says: that it goes on, is stuck, or would end sooner elsewhere."""
+"""Evaluates a run's progress: whether it is stuck, or would end sooner on another runner."""
 
 from paddleshunt_core.leased.health import RunnerHealth
 from paddleshunt_core.leased.runtable import Run
 
 STUCK_SECONDS = 0.35
-"""Seconds without progress after which a run is stopped, to run elsewhere."""
+"""Seconds without progress after which a run is stopped, to be retried elsewhere."""
 
-STUCK_LEAST = 0.15
-"""The same for a run whose whole estimate is less."""
+MIN_STUCK_SECONDS = 0.15
+"""Lower bound of this time for runs whose whole estimate is shorter than `STUCK_SECONDS`."""
 
-STUCK_LOOKS = 2
-"""Looks in a row that must have shown no progress."""
+STUCK_POLLS = 2
+"""Consecutive polls without progress before a run counts as stuck."""
 
 HUNG_SECONDS = 0.12
-"""Seconds without progress of any run after which a runner counts as hung: two looks and a half."""
+"""Seconds without progress of any run after which a runner counts as hung."""
 
 HUNG_SHARE = 0.03
-"""The same as a share of a run's estimate; a runner tells progress in steps of a hundredth."""
+"""The same as a share of a run's estimate, as progress is reported in whole percents."""
 
 HUNG_RUNS = 2
-"""Runs that must all stand still; one alone may be its task's own fault."""
+"""Runs that must all be stalled; a single one may be stalled by its own task."""
 
-SLOW_RESTART = 1.2
-"""A run on a slow runner is stopped if what is left takes so many times its estimate."""
+RESTART_FACTOR = 1.2
+"""A run on a slow runner is stopped if the rest takes more than this multiple of its estimate."""
 
 
-def note_progress(now: float, shown: float, run: Run, percent: int, health: RunnerHealth) -> None:
-    """Take a look's word that `percent` of a run is done, also as evidence on the runner.
+def note_progress(
+    now: float, observed_at: float, run: Run, percent: int, health: RunnerHealth
+) -> None:
+    """Record that a poll showed `percent` of a run done, and its effect on the runner's health.
 
-    A look that is read late shows the moment `shown`: what passed since is not its runner's time.
+    The percent is that of the moment `observed_at`, which is before `now` if the poll's answer was
+    read late; the time in between is not counted against the runner.
     """
     if percent > run.percent:
-        _note_work(now, shown, run, percent, 0.0, health)
+        _note_work(now, observed_at, run, percent, 0.0, health)
         run.percent = percent
-        run.moved = now
-        run.still = 0
-    elif shown > run.seen:
-        # A runner tells whole hundredths: what it may have done of the next one is no stand-still.
-        ahead = max(run.ahead, min(shown - run.moved, run.estimate / 100))
-        _note_work(now, shown, run, run.percent, ahead, health)
-        run.still += 1
-    run.seen = max(run.seen, shown)
+        run.progressed_at = now
+        run.stalled_polls = 0
+    elif observed_at > run.observed_at:
+        # Progress comes in whole percents: part of the next one may be done without showing.
+        unreported_work = max(
+            run.unreported_work, min(observed_at - run.progressed_at, run.estimate / 100)
+        )
+        _note_work(now, observed_at, run, run.percent, unreported_work, health)
+        run.stalled_polls += 1
+    run.observed_at = max(run.observed_at, observed_at)
 
 
-def note_done(now: float, shown: float, run: Run, health: RunnerHealth) -> None:
-    """Take a look's word that a run has ended well, as evidence on the runner."""
-    _note_work(now, shown, run, 100, 0.0, health)
+def note_done(now: float, observed_at: float, run: Run, health: RunnerHealth) -> None:
+    """Record that a poll showed a run as done, and its effect on the runner's health."""
+    _note_work(now, observed_at, run, 100, 0.0, health)
 
 
 def _note_work(
-    now: float, shown: float, run: Run, percent: int, ahead: float, health: RunnerHealth
+    now: float,
+    observed_at: float,
+    run: Run,
+    percent: int,
+    unreported_work: float,
+    health: RunnerHealth,
 ) -> None:
-    """Count what a run has done since the last look, with what is `ahead` of its percent."""
-    work = run.estimate * (percent - run.percent) / 100 + ahead - run.ahead
-    run.ahead = ahead
-    health.progressed(now, work, max(0.0, shown - run.seen))
+    """Count the work done since the last poll, `unreported_work` beyond the percent included."""
+    work = run.estimate * (percent - run.percent) / 100 + unreported_work - run.unreported_work
+    run.unreported_work = unreported_work
+    health.progressed(now, work, max(0.0, observed_at - run.observed_at))
 
 
 def is_stuck(now: float, run: Run, patience: float = 1.0) -> bool:
-    """Whether a run has made no progress for so long that it is to run elsewhere.
+    """Whether a run has made no progress for so long that it is to be retried elsewhere.
 
-    `patience` is how many times as long as usual its runner may take, as it is cold.
+    `patience` is the factor by which the limit is extended while the runner is cold.
     """
-    return _has_stood(now, run, patience * min(STUCK_SECONDS, max(STUCK_LEAST, run.estimate)))
+    return _no_progress(
+        now, run, patience * min(STUCK_SECONDS, max(MIN_STUCK_SECONDS, run.estimate))
+    )
 
 
-def stands_still(now: float, run: Run, patience: float = 1.0) -> bool:
-    """Whether a run has made no progress lately: if no run has, their runner hangs."""
-    return _has_stood(now, run, patience * max(HUNG_SECONDS, HUNG_SHARE * run.estimate))
+def is_stalled(now: float, run: Run, patience: float = 1.0) -> bool:
+    """Whether a run has made no recent progress; if this holds for all, their runner hangs."""
+    return _no_progress(now, run, patience * max(HUNG_SECONDS, HUNG_SHARE * run.estimate))
 
 
-def is_better_elsewhere(run: Run, speed: float) -> bool:
-    """Whether a run takes longer yet, at this `speed` of its runner, than a new start elsewhere."""
-    return (100 - run.percent) / 100 > SLOW_RESTART * speed
+def is_faster_elsewhere(run: Run, speed: float) -> bool:
+    """Whether the rest of a run takes longer at its runner's `speed` than a restart elsewhere."""
+    return (100 - run.percent) / 100 > RESTART_FACTOR * speed
 
 
-def _has_stood(now: float, run: Run, patience: float) -> bool:
-    """Whether several looks in a row, over more than `patience` seconds, showed no progress."""
-    return run.still >= STUCK_LOOKS and now > run.moved + patience
+def _no_progress(now: float, run: Run, seconds: float) -> bool:
+    """Whether several consecutive polls, over more than `seconds`, showed no progress."""
+    return run.stalled_polls >= STUCK_POLLS and now > run.progressed_at + seconds
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -1,4 +1,4 @@
-"""A target's control of its runner: which runs it orders, keeps alive, stops and gives up."""
+"""A target's control of its runner: starts, watches and stops runs, and detects lost ones."""
 
 from dataclasses import replace
 from typing import final
@@ -23,11 +23,11 @@
 )
 from paddleshunt_core.leased.progress import (
     HUNG_RUNS,
-    is_better_elsewhere,
+    is_faster_elsewhere,
+    is_stalled,
     is_stuck,
     note_done,
     note_progress,
-    stands_still,
 )
 from paddleshunt_core.leased.resources import NOTHING, Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
@@ -50,27 +50,26 @@
     RunnerState,
 )
 
-LOOK_SHARE = 0.07
-"""Part of the runner's lease that one look may wait for an end: 48 ms of the council's 0.69 s.
+POLL_WAIT_SHARE = 0.07
+"""Share of the runner's lease for which a poll may wait for an end while a run is running.
 
-What only a look can tell, a hang or an order that was lost, is known so much sooner.
+A hung runner or a lost order is noticed only when the poll returns.
 """
 
-LOOK_SECONDS = 0.05
-"""Longest wait of a look while a run is at work, however long the lease.
+MAX_POLL_WAIT = 0.05
+"""Maximum wait of a poll in seconds while a run is running, however long the lease.
 
-Its answer shows some moment of the wait, which is not known closer: it must be short beside the
-time after which a runner counts as hung (`HUNG_SECONDS`).
+The answer may show any moment of the wait, so this must be well below `HUNG_SECONDS`.
 """
 
-IDLE_LOOK_SHARE = 0.45
-"""The same while no run is at work."""
+IDLE_POLL_WAIT_SHARE = 0.45
+"""Share of the runner's lease for which a poll may wait while no run is running."""
 
 MIN_SECONDS = 0.001
-"""Shortest time that a run is taken to have lasted."""
+"""Minimum duration in seconds that a run is counted with."""
 
-UNREACHABLE_LOOKS = 2
-"""Looks in a row without an answer after which a runner counts as unreachable."""
+UNREACHABLE_POLLS = 2
+"""Consecutive failed polls after which a runner counts as unreachable."""
 
 _ENDS = {
     RunEnd.DONE: End.DONE,
@@ -84,7 +83,7 @@
 
 @final
 class RunnerControl:
-    """State of one runner. `take_ends` tells which runs have ended since it was asked last."""
+    """State of one runner and of the runs that it was ordered."""
 
     def __init__(
         self, times: LeaseTimes, hall: str = "", cold_overrun: float = COLD_OVERRUN
@@ -94,10 +93,10 @@
         self._cold_overrun = cold_overrun
         self._cold_until = float("-inf")
         self.evacuations = Evacuations()
-        self.lives = Incarnations()
+        self.incarnations = Incarnations()
         self.table = RunTable()
         self.status: RunnerStatus | None = None
-        self._check_account = StatusCheck()
+        self._status_check = StatusCheck()
         self.health = RunnerHealth(cold_overrun)
         self.level = Health.GOOD
         self.leaving = False
@@ -106,40 +105,40 @@
         self._last_seen = 0
         self._lease = RunnerLease(times)
         self._foreign = ForeignRuns(times, self._lease)
-        self._failed_looks = 0
+        self._failed_polls = 0
         self._waited = 0.0
-        """Seconds that the last look may have waited at the runner."""
+        """Seconds that the last poll may have waited at the runner."""
 
     @property
     def clean(self) -> bool:
-        """Whether nothing foreign can be at work on this life of the runner."""
+        """Whether no foreign run can be running on this incarnation of the runner."""
         return self._foreign.clean
 
     def add(self, now: float, runs: list[Run]) -> list[Effect]:
-        """Start what fits, and give back the rest at once: other targets may have room."""
+        """Start what fits, and return the rest at once, as other targets may have room."""
         effects: list[Effect] = []
         until = self._lease.next_end(now, self.table)
         for run in runs:
             if not self._may_start(now, until):
-                effects.append(self._tell(run, End.NO_ROOM, self._why_not_started()))
+                effects.append(self._report_end(run, End.NO_ROOM, self._why_not_started()))
             elif run.need.fits(self.free()):
                 effects.append(self._order(now, run, until))
             else:
-                effects.append(self._tell(run, End.NO_ROOM, "no_room"))
+                effects.append(self._report_end(run, End.NO_ROOM, "no_room"))
         return effects
 
     def take_ends(self) -> list[tuple[Run, End]]:
-        """Return the runs that have ended, and how, once."""
+        """Return the runs that have ended since the last call, and how."""
         ends = self._ends
         self._ends = []
         return ends
 
     def tick(self, now: float) -> list[Effect]:
-        """Act on the passing of time."""
+        """Stop runs that have expired or would end sooner elsewhere; log a change of health."""
         effects: list[Effect] = []
         for run in self.table:
             effects += self._check(now, run)
-        effects += self._leave_slow(now)
+        effects += self._stop_if_slow(now)
         level = self.health.level(now)
         if level is not self.level:
             self.level = level
@@ -147,36 +146,36 @@
             effects.append(note("runner_health", health=level.name.lower(), speed=speed))
         return effects
 
-    def runner_stood_still(self, seconds: float) -> None:
-        """Note that the runner's clock and work may have stood still, as its host was suspended."""
-        self._lease.stood_still(seconds)
-        self._foreign.stood_still(seconds)
+    def runner_paused(self, seconds: float) -> None:
+        """Note that the runner may have been paused for so long, as its host was suspended."""
+        self._lease.clock_paused(seconds)
+        self._foreign.clock_paused(seconds)
         for run in self.table:
-            run.moved += seconds
-            run.seen += seconds
+            run.progressed_at += seconds
+            run.observed_at += seconds
 
     def leave(self) -> None:
         """Start nothing more."""
         self.leaving = True
 
     def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
-        """Follow the runner's account of itself, unless it is late; it may be of another life."""
-        if self.lives.classify(status) is HeartbeatClass.LATE:
-            self.lives.pass_over(status)
-            return [late_note(status, self.lives.current)]
+        """Take in the runner's status, maybe of a new incarnation; ignore a late or odd one."""
+        if self.incarnations.classify(status) is HeartbeatClass.LATE:
+            self.incarnations.note_late(status)
+            return [late_note(status, self.incarnations.current)]
         known = self.status
-        if self._check_account.contradicts(known, status):
+        if self._status_check.contradicts(known, status):
             return [contradicting_status_note(status)]
         effects: list[Effect] = []
-        if not self.lives.is_current(status.runner):
-            if self.lives.current is not None:
+        if not self.incarnations.is_current(status.runner):
+            if self.incarnations.current is not None:
                 effects += self._runner_replaced(now, status.runner)
-            self._foreign.meet(now)
+            self._foreign.reset(now)
             known = None
         elif known is not None:
-            self.losses.spoke()
+            self.losses.heartbeat_received()
         self.status = status
-        self.lives.follow(status)
+        self.incarnations.follow(status)
         effects += self._note_cold(now, status)
         if known is not None and known.capacity != status.capacity:
             effects.append(resized_note(status, known.capacity))
@@ -185,11 +184,11 @@
         return effects
 
     def cold(self, now: float) -> float:
-        """Return for how many seconds the runner stays slow yet after its start."""
+        """Return the remaining seconds of the runner's warm-up."""
         return max(0.0, self._cold_until - now)
 
     def _note_cold(self, now: float, status: RunnerStatus) -> list[Effect]:
-        """Follow the runner's word on how long it stays slow; it runs down until the next."""
+        """Record the remaining warm-up, which counts down until the next heartbeat."""
         was_cold = self.cold(now) > 0
         self._cold_until = now + status.cold
         self.health.note_cold(now, status.cold)
@@ -198,30 +197,30 @@
         left = round(status.cold * 1000)
         return [note("runner_cold", runner=str(status.runner), left_ms=left)]
 
-    def runner_deregistered(self, now: float, life: RunnerIncarnation) -> list[Effect]:
-        """Take the runner's word that it ends now."""
-        current = self.lives.current
-        if current is None or not self.lives.is_current(life):
-            self.lives.note_ended(life)
+    def runner_deregistered(self, now: float, incarnation: RunnerIncarnation) -> list[Effect]:
+        """Handle the runner's notice that it ends now."""
+        current = self.incarnations.current
+        if current is None or not self.incarnations.is_current(incarnation):
+            self.incarnations.mark_ended(incarnation)
             return []
         if self.status is not None:
-            # What still runs there ends with a runner that left as it said: it took nothing down.
+            # An announced end is no crash, so its runs are not blamed for it.
             self.status = replace(self.status, leaving=True)
-        if current.born and not life.born:
-            # It may be the late word of an earlier life: nothing is started until the runner says
-            # otherwise, and what runs goes on until looks show that it has ended.
+        if current.born and not incarnation.born:
+            # This may be a late notice of an earlier incarnation: nothing is started until the next
+            # heartbeat, and runs continue until polls show that they have ended.
             return [note("runner_leaving", runner=str(current))]
-        self.lives.note_ended(life)
+        self.incarnations.mark_ended(incarnation)
         return self._runner_replaced(now, None)
 
     def next_poll(self, now: float, *, renew: bool) -> Poll:
-        """Return the look to send now; it counts as sent, and renews if an entry's session lives.
+        """Return the poll to send now, and count it as sent; `renew`: whether to renew the lease.
 
-        After one without an answer, the next only looks, at once: a runner that doesn't answer
-        must not have its lease renewed for ever, or its runs could never be given up.
+        After a failed poll, the next one neither waits nor renews: otherwise the lease of a runner
+        that doesn't answer would never end, and its runs would never be known to be lost.
         """
-        self._waited = 0.0 if self._failed_looks else self._poll_wait()
-        if self._failed_looks:
+        self._waited = 0.0 if self._failed_polls else self._poll_wait()
+        if self._failed_polls:
             return Poll(self._last_seen, None, 0.0)
         until = self._lease.next_end(now, self.table) if renew else now
         if until <= now:
@@ -230,118 +229,118 @@
         return Poll(self._last_seen, until, self._waited)
 
     def _poll_wait(self) -> float:
-        # The runner's account changes whom a look is meant for: a long one under way is wasted.
+        # The first heartbeat changes the incarnation that polls address; a long poll would be lost.
         if not self.clean or self.status is None:
             return 0.0
-        if any(run.doubted is not None or run.phase is Phase.STOPPING for run in self.table):
+        if any(run.unanswered_at is not None or run.phase is Phase.STOPPING for run in self.table):
             return 0.0
         if not len(self.table):
-            return self._times.hold * IDLE_LOOK_SHARE
-        return min(LOOK_SECONDS, self._times.hold * LOOK_SHARE)
+            return self._times.hold * IDLE_POLL_WAIT_SHARE
+        return min(MAX_POLL_WAIT, self._times.hold * POLL_WAIT_SHARE)
 
     def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
-        """Take the runner's lists of what runs and what has ended."""
+        """Handle the runner's lists of running and finished runs."""
         effects = self._reached()
-        life = self._life_of(answer)
-        if life is not None and not self.lives.is_current(life):
-            # What it was asked was meant for the last life: its lists are read with the next look.
-            return effects + self._runner_replaced(now, life, answered=self.clean)
-        if life is not None:
-            self.lives.answered_as(life)
+        incarnation = self._sender_of(answer)
+        if incarnation is not None and not self.incarnations.is_current(incarnation):
+            # The poll was meant for the last incarnation; the lists are read with the next poll.
+            return effects + self._runner_replaced(now, incarnation, answered=self.clean)
+        if incarnation is not None:
+            self.incarnations.confirm(incarnation)
         return effects + self._read_lists(now, answer)
 
     def _reached(self) -> list[Effect]:
-        """Note that the runner answered."""
-        was_unreachable = self._failed_looks >= UNREACHABLE_LOOKS
-        self._failed_looks = 0
+        """Note that the runner answered a poll."""
+        was_unreachable = self._failed_polls >= UNREACHABLE_POLLS
+        self._failed_polls = 0
         return [note("runner_reachable")] if was_unreachable else []
 
-    def _life_of(self, answer: PollAnswer) -> RunnerIncarnation | None:
-        """Return the life that gave an answer, as far as it says; None if none was meant."""
-        current = self.lives.current
+    def _sender_of(self, answer: PollAnswer) -> RunnerIncarnation | None:
+        """Return the incarnation that answered; None if the poll was sent to no particular one."""
+        current = self.incarnations.current
         return None if current is None else RunnerIncarnation(current.id, answer.born)
 
     def _read_lists(self, now: float, answer: PollAnswer) -> list[Effect]:
         effects: list[Effect] = []
-        self.losses.answered()
+        self.losses.poll_answered()
         self._last_seen = max(self._last_seen, answer.listed)
-        # This process may have stood still before it read the answer: it shows an earlier moment.
-        shown = min(now, answer.sent + self._waited)
+        # This process may have been paused before it read the answer, which is then older.
+        observed_at = min(now, answer.sent + self._waited)
         for finished in answer.finished:
-            effects += self._listed(now, shown, finished)
+            effects += self._run_finished(now, observed_at, finished)
         running = {row.run: row.percent for row in answer.running}
-        self._foreign.read(answer, self.table)
+        self._foreign.update(answer, self.table)
         effects += self._stop_foreign()
         for run in self.table:
             if answer.unread_end:
                 run.note_unread_end()
-            if run.outlived:
-                effects += self._look_for_outlived(now, run, answer, listed=run.id in running)
+            if run.is_orphaned:
+                effects += self._check_orphan(now, run, answer, listed=run.id in running)
             elif run.id in running:
-                effects += self._progressed(now, shown, run, running[run.id])
+                effects += self._run_listed(now, observed_at, run, running[run.id])
             elif not answer.partial:
-                effects += self._look_for(now, run, answer)
-        return effects + self._leave_hung(now, shown)
+                effects += self._run_not_listed(now, run, answer)
+        return effects + self._stop_if_hung(now, observed_at)
 
-    def _look_for(self, now: float, run: Run, answer: PollAnswer) -> list[Effect]:
-        """Decide on a run that a full list doesn't show."""
-        if run.doubted is not None and run.doubted < answer.sent:
+    def _run_not_listed(self, now: float, run: Run, answer: PollAnswer) -> list[Effect]:
+        """Handle a run that is missing from a complete list."""
+        if run.unanswered_at is not None and run.unanswered_at < answer.sent:
             return [*stop(now, run, End.NOT_STARTED, "start_unanswered")]
-        if run.settled is not None and run.settled < answer.sent:
-            return self._vanished(run)
+        if run.confirmed_at is not None and run.confirmed_at < answer.sent:
+            return self._run_gone(run)
         return []
 
-    def _look_for_outlived(
+    def _check_orphan(
         self, now: float, run: Run, answer: PollAnswer, *, listed: bool
     ) -> list[Effect]:
-        """Decide on a run that was ordered of the life before; an order may be carried out late.
+        """Handle a run that was ordered from the previous incarnation, as the order may come late.
 
-        A look that the present life has answered bore a higher token, so what it doesn't show by
-        then never begins there. Until then the task must not be placed elsewhere.
+        Polls that the current incarnation answers carry a higher fencing token, so a run that it
+        doesn't list never starts there. Until then the task must not be placed elsewhere.
         """
         if listed:
-            self._lease.may_have_strayed(now)
-            run.outlived = False
-            run.settled = None
-            run.ordered = now
+            self._lease.extend_for_late_order(now)
+            run.is_orphaned = False
+            run.confirmed_at = None
+            run.ordered_at = now
             return [StopRun(run.id)]
-        if answer.partial or not self._foreign.is_met_by(answer):
+        if answer.partial or not self._foreign.is_after_reset(answer):
             return []
         return self._ended(run, End.LOST, "runner_replaced")
 
     def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
-        """Take a renewal that got no answer, or the answer that another id runs there."""
+        """Handle a poll without an answer, or one that another id answered (`other_life`)."""
         if other_life:
             return self._runner_replaced(now, None, answered=self.clean)
         effects: list[Effect] = []
-        self.losses.unanswered(now)
-        self._failed_looks += 1
-        if self._failed_looks == UNREACHABLE_LOOKS:
+        self.losses.poll_failed(now)
+        self._failed_polls += 1
+        if self._failed_polls == UNREACHABLE_POLLS:
             effects.append(note("runner_unreachable", runs=len(self.table)))
-            self.losses.silent(now, self.status, self.table)
-        if self._lease.has_killed(now) and len(self.table):
-            effects.append(self.losses.given_up(now, self.status, self.table))
+            self.losses.report_silent(now, self.status, self.table)
+        if self._lease.has_surely_expired(now) and len(self.table):
+            effects.append(self.losses.report_lost(now, self.status, self.table))
             for run in self.table:
-                effects.append(lapsed_note(run, self._lease.over_for(now)))
+                effects.append(lapsed_note(run, self._lease.seconds_past_end(now)))
                 effects += self._ended(run, End.LOST, "lease_lapsed")
-            # An order that is still on its way may reach a life whose clock starts anew.
+            # A late order may reach a new incarnation, whose clock starts anew.
             effects.append(Supersede())
         return effects
 
     def start_answered(self, now: float, id_: RunId, answer: StartAnswer) -> list[Effect]:
-        """Take what became of an order to start."""
+        """Handle the outcome of an order to start."""
         run = self.table.get(id_)
         if run is None:
             return []
-        run.settled = now
+        run.confirmed_at = now
         match answer:
             case StartAnswer.STARTED:
                 return self._started(now, run)
             case StartAnswer.NO_ROOM:
                 return self._no_room(run)
             case StartAnswer.UNKNOWN:
-                return self._doubt(now, run)
-            case StartAnswer.OTHER_LIFE if not run.outlived:
+                return self._start_unanswered(now, run)
+            case StartAnswer.OTHER_LIFE if not run.is_orphaned:
                 return self._runner_replaced(now, None)
             case StartAnswer.UNHEALTHY:
                 self.health.suspect(now)
@@ -351,19 +350,19 @@
         return self._ended(run, end, f"start_{answer.value}")
 
     def stop_answered(self, now: float, id_: RunId, *, done: bool) -> list[Effect]:
-        """Take what became of an order to stop; an unanswered one is sent again."""
+        """Handle the outcome of an order to stop; an unanswered one is sent again."""
         run = self.table.get(id_)
         if run is None:
             return []
         if done:
-            run.settled = now
+            run.confirmed_at = now
             return []
-        run.ordered = now
+        run.ordered_at = now
         return []
 
     def state(self) -> RunnerState:
-        """Return what the runner may be given."""
-        if self.status is None or self._failed_looks >= UNREACHABLE_LOOKS:
+        """Return whether the runner may get new runs, and if not, why."""
+        if self.status is None or self._failed_polls >= UNREACHABLE_POLLS:
             return RunnerState.DOWN
         if self.leaving or self.status.leaving:
             return RunnerState.LEAVING
@@ -372,41 +371,41 @@
         return RunnerState.READY
 
     def may_send(self, id_: RunId) -> bool:
-        """Whether an order to start that is about to leave is still wanted and allowed."""
+        """Whether an order to start that is about to be sent is still wanted and allowed."""
         run = self.table.get(id_)
         wanted = run is not None and run.phase is Phase.STARTING
         return wanted and self.state() is RunnerState.READY and not self._is_overfilled()
 
     def _is_overfilled(self) -> bool:
-        """Whether more is counted on the runner than it has: it has shrunk since that was ordered.
+        """Whether the runs need more than the runner's capacity, which has shrunk since.
 
-        What runs goes on; an order that has not left yet is held back.
+        Running runs continue; an order that has not been sent yet is held back.
         """
         return self.status is None or not self.table.used.fits(self.status.capacity)
 
     def free(self) -> Resources:
-        """Return the room on the runner."""
+        """Return the free resources of the runner."""
         if self.status is None:
             return NOTHING
         return self.status.capacity - self.table.used
 
     def offered(self, now: float) -> Resources:
-        """Return the room that is given to entries now: none while nothing may start."""
+        """Return the free resources to offer to entries: none while nothing may start."""
         until = self._lease.next_end(now, self.table)
         return self.free() if self._may_start(now, until) else NOTHING
 
     def _order(self, now: float, run: Run, until: float) -> StartRun:
         self._lease.grant(until)
         self.table.add(run)
-        run.began = run.ordered = run.moved = run.seen = now
+        run.decided_at = run.ordered_at = run.progressed_at = run.observed_at = now
         return StartRun(run.id, run.spec, until, run.entry, now)
 
     def _may_start(self, now: float, until: float) -> bool:
         """Whether a run may start under a lease that ends at `until`."""
         if not self.clean or self._foreign or self.state() is not RunnerState.READY:
             return False
-        if self._failed_looks:
-            # It may have ended: what is ordered now could not be told from what took it down.
+        if self._failed_polls:
+            # It may have crashed, and a run ordered now could not be told from the cause.
             return False
         if not self._lease.is_enough(now, until):
             return False
@@ -420,27 +419,27 @@
             return "runner_not_looked_at"
         if self._foreign:
             return "foreign_runs"
-        return "runner_unanswered" if self._failed_looks else "runner_not_ready"
+        return "runner_unanswered" if self._failed_polls else "runner_not_ready"
 
     def _started(self, now: float, run: Run) -> list[Effect]:
         if run.phase is Phase.STARTING:
-            run.begin(now)
+            run.mark_running(now)
         if run.phase is Phase.RUNNING:
             return []
-        run.ordered = now
-        run.settled = None
+        run.ordered_at = now
+        run.confirmed_at = None
         return [StopRun(run.id)]
 
     def _no_room(self, run: Run) -> list[Effect]:
         if run.phase is not Phase.STARTING:
-            return self._ended(run, run.ending, "no_room")
+            return self._ended(run, run.end_after_stop, "no_room")
         log = rejected_note(run, self.table.used.processor)
         return [log, *self._ended(run, End.NO_ROOM, "rejected")]
 
     def cancel(self, now: float, run: Run, reason: str, since: float | None = None) -> list[Effect]:
-        """End a run to which nobody has had a right `since`, or from now on."""
+        """Stop a run that has been unwanted `since` that time (default: now)."""
         if run.phase is Phase.STOPPING:
-            run.unwanted = min(run.unwanted, now if since is None else since)
+            run.unwanted_since = min(run.unwanted_since, now if since is None else since)
             return []
         return [*stop(now, run, End.STOPPED, reason, since)]
 
@@ -451,8 +450,8 @@
             return [*stop(now, run, End.STOPPED, "expired")]
         return []
 
-    def _leave_slow(self, now: float) -> list[Effect]:
-        """Stop, to run elsewhere, what would take long on a runner that has turned slow."""
+    def _stop_if_slow(self, now: float) -> list[Effect]:
+        """Stop the runs that would end sooner elsewhere, if the runner has become slow."""
         if not self.health.is_slow(now):
             return []
         speed = self.health.speed(now)
@@ -460,15 +459,15 @@
         return [
             effect
             for run in self.table
-            if run.phase is Phase.RUNNING and is_better_elsewhere(run, speed)
+            if run.phase is Phase.RUNNING and is_faster_elsewhere(run, speed)
             for effect in stop(now, run, End.STUCK, "slow")
         ]
 
-    def _leave_hung(self, now: float, shown: float) -> list[Effect]:
-        """Stop all runs, to run elsewhere, if none of them made progress any more when `shown`."""
+    def _stop_if_hung(self, now: float, observed_at: float) -> list[Effect]:
+        """Stop all runs if none of them was making progress at `observed_at`."""
         runs = [run for run in self.table if run.phase is Phase.RUNNING]
         if len(runs) < HUNG_RUNS or not all(
-            stands_still(shown, run, self.health.patience(run.moved)) for run in runs
+            is_stalled(observed_at, run, self.health.patience(run.progressed_at)) for run in runs
         ):
             return []
         self.health.suspect(now)
@@ -476,53 +475,55 @@
             effect for run in runs for effect in stop(now, run, End.STUCK, "runner_stands_still")
         ]
 
-    def _listed(self, now: float, shown: float, finished: FinishedRun) -> list[Effect]:
+    def _run_finished(self, now: float, observed_at: float, finished: FinishedRun) -> list[Effect]:
         self._last_seen = max(self._last_seen, finished.number)
         run = self.table.get(finished.run)
         if run is None:
             return []
         end = _ENDS[finished.end]
         if finished.end is RunEnd.DONE:
-            note_done(now, shown, run, self.health)
-            took = max(shown - run.ordered, MIN_SECONDS)
-            self.health.done(now, run.estimate / took, run.ordered)
+            note_done(now, observed_at, run, self.health)
+            duration = max(observed_at - run.ordered_at, MIN_SECONDS)
+            self.health.done(now, run.estimate / duration, run.ordered_at)
         elif finished.end is RunEnd.FAILED:
             self.health.failed(now)
         elif finished.end is RunEnd.STOPPED:
-            end = run.ending if run.phase is Phase.STOPPING else End.STOPPED
+            end = run.end_after_stop if run.phase is Phase.STOPPING else End.STOPPED
             if end is End.NOT_STARTED:
                 end = End.STOPPED
         return self._ended(run, end, finished.end.value)
 
-    def _doubt(self, now: float, run: Run) -> list[Effect]:
-        """Let the next look tell whether an unanswered start was carried out."""
-        run.settled = None
+    def _start_unanswered(self, now: float, run: Run) -> list[Effect]:
+        """Leave it to the next poll to show whether an unanswered start was executed."""
+        run.confirmed_at = None
         if run.phase is Phase.STARTING:
-            run.doubted = now
+            run.unanswered_at = now
             return []
         if run.phase is Phase.STOPPING:
             return [StopRun(run.id)]
         return []
 
-    def _progressed(self, now: float, shown: float, run: Run, percent: int) -> list[Effect]:
+    def _run_listed(self, now: float, observed_at: float, run: Run, percent: int) -> list[Effect]:
         if run.phase is Phase.STARTING:
-            run.begin(now)
-        run.doubted = None
-        run.settled = now if run.phase is Phase.RUNNING else run.settled
-        note_progress(now, shown, run, percent, self.health)
-        if run.phase is Phase.RUNNING and is_stuck(shown, run, self.health.patience(run.moved)):
+            run.mark_running(now)
+        run.unanswered_at = None
+        run.confirmed_at = now if run.phase is Phase.RUNNING else run.confirmed_at
+        note_progress(now, observed_at, run, percent, self.health)
+        if run.phase is Phase.RUNNING and is_stuck(
+            observed_at, run, self.health.patience(run.progressed_at)
+        ):
             self.health.suspect(now)
             return [*stop(now, run, End.STUCK, "no_progress")]
         return []
 
-    def _vanished(self, run: Run) -> list[Effect]:
-        """End a run that a later look of the runner doesn't know."""
+    def _run_gone(self, run: Run) -> list[Effect]:
+        """End a run that a later poll no longer lists."""
         if run.phase is Phase.STOPPING:
-            return self._ended(run, run.ending, "gone")
+            return self._ended(run, run.end_after_stop, "gone")
         return self._ended(run, End.LOST, "gone")
 
     def _stop_foreign(self) -> list[Effect]:
-        """Stop what an earlier life of this target has left; until it is gone, start nothing."""
+        """Stop the runs that an earlier process has left; nothing starts until they are gone."""
         effects: list[Effect] = []
         for id_ in self._foreign:
             effects.append(note("foreign_run_stopping", str(id_.task), run=id_.number))
@@ -530,43 +531,44 @@
         return effects
 
     def _runner_replaced(
-        self, now: float, life: RunnerIncarnation | None, *, answered: bool = True
+        self, now: float, successor: RunnerIncarnation | None, *, answered: bool = True
     ) -> list[Effect]:
-        """End all that an earlier life of the runner had: it died with it.
-
-        An order that is on its way may be carried out by the next life if that bears the same id.
+        """End all runs of the current incarnation, which has ended.
 
-        `life`: the one that is known to answer in its place, if any is. An earlier life that has
-        never `answered` may be the next one, which the last one makes wait.
+        Orders that are still in flight may be executed by `successor`, the incarnation that is
+        known to answer in its place, if that has the same id. An ended incarnation that never
+        `answered` may still be the next one, waiting for the last one to drain.
         """
-        was = self.lives.current
+        ended = self.incarnations.current
         effects: list[Effect] = [
-            note("runner_replaced", was=format_incarnation(was), now=format_incarnation(life))
+            note(
+                "runner_replaced", was=format_incarnation(ended), now=format_incarnation(successor)
+            )
         ]
-        effects += self.losses.replaced(now, self.status, self.table)
-        strays = life is not None and was is not None and was.has_same_id(life)
+        effects += self.losses.report_replaced(now, self.status, self.table)
+        may_run_late = successor is not None and ended is not None and ended.has_same_id(successor)
         for run in self.table:
-            if strays:
-                run.outlive(now)
+            if may_run_late:
+                run.orphan(now)
             else:
                 effects += self._ended(run, End.LOST, "runner_replaced")
-        if strays:
-            self._lease.may_have_strayed(now)
+        if may_run_late:
+            self._lease.extend_for_late_order(now)
         self.health = RunnerHealth(self._cold_overrun)
         self._cold_until = float("-inf")
         self._last_seen = 0
         self.status = None
-        self.lives.end(answered=answered)
-        self._foreign.meet(now)
-        if life is not None:
-            self.lives.meet(life)
+        self.incarnations.end_current(answered=answered)
+        self._foreign.reset(now)
+        if successor is not None:
+            self.incarnations.set_current(successor)
         return effects
 
     def _ended(self, run: Run, end: End, reason: str) -> list[Effect]:
         self.table.drop(run)
-        return [self._tell(run, end, reason)]
+        return [self._report_end(run, end, reason)]
 
-    def _tell(self, run: Run, end: End, reason: str) -> Log:
-        """Let the run's entry know of its end."""
+    def _report_end(self, run: Run, end: End, reason: str) -> Log:
+        """Report the end of a run to its entry."""
         self._ends.append((run, end))
         return ended_note(run, end, reason)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerincarnation.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerincarnation.py
@@ -1,6 +1,6 @@
-"""One life of a runner: what its words, its runs and its losses are told apart by.
+"""Identity of one incarnation of a runner.
 
-A runner may start again under the id that it had, so an id alone names no life.
+A restarted runner may register under its previous id, so an id alone does not identify it.
 """
 
 from typing import final
@@ -10,10 +10,10 @@
 
 @final
 class RunnerIncarnation(msgspec.Struct, frozen=True, order=True):
-    """A runner's id, and when it started under it (ms since 1970, by its host's clock).
+    """A runner's id and its start time under that id (ms since 1970, by its host's clock).
 
-    `born` tells lives apart and does not order them: the clock may have been set back between them.
-    0: it is not told.
+    `born` distinguishes incarnations but does not order them, as the clock may be set back between
+    them. It is 0 if unknown.
     """
 
     id: str
@@ -23,15 +23,15 @@
         return f"{self.id}@{self.born}" if self.born else self.id
 
     def may_be_same(self, other: "RunnerIncarnation") -> bool:
-        """Whether both may be the same life, as far as they are told."""
-        untold = not self.born or not other.born
-        return self.id == other.id and (untold or self.born == other.born)
+        """Whether both may be the same incarnation; an unknown start time matches any."""
+        start_unknown = not self.born or not other.born
+        return self.id == other.id and (start_unknown or self.born == other.born)
 
     def has_same_id(self, other: "RunnerIncarnation") -> bool:
-        """Whether both are of one id: what is ordered of one may be carried out by the other."""
+        """Whether both have one id, so that either may execute an order sent to the other."""
         return self.id == other.id
 
 
-def format_incarnation(life: RunnerIncarnation | None) -> str:
-    """Return how log lines name a life; empty for none."""
-    return "" if life is None else str(life)
+def format_incarnation(incarnation: RunnerIncarnation | None) -> str:
+    """Return the name of an incarnation for log lines; empty for None."""
+    return "" if incarnation is None else str(incarnation)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
@@ -1,7 +1,7 @@
-"""The lease that a target keeps on its runner: how far it reaches, and how far it may.
+"""The lease that a target grants its runner: when it ends, and until when it may be extended.
 
-The runner has one lease for all that runs there, and prolongs it with each order that it gets,
-whether it answers or not. When it is over, the runner kills all.
+A runner has one lease for all its runs. Each order that it receives extends the lease, answered or
+not. When the lease ends, the runner kills all its runs.
 """
 
 from collections.abc import Iterable
@@ -13,23 +13,23 @@
 
 @final
 class RunnerLease:
-    """The lease as this target has granted it; times are own steady seconds."""
+    """The lease as granted by this target; times are steady seconds of this process."""
 
     def __init__(self, times: LeaseTimes) -> None:
         self._times = times
         self._end = float("-inf")
-        """End of the longest lease that any order has brought."""
+        """Latest lease end that any order has granted."""
 
     def next_end(self, now: float, runs: Iterable[Run]) -> float:
-        """Return when a lease that is granted now must end.
+        """Return the end of a lease that is granted now.
 
-        It covers unwanted runs as well: none of them may outlive what remained to it when it became
-        so, as its entry counts on that. One whose stop the runner has confirmed needs no lease.
+        An unwanted run must end within the lease that it had when it became unwanted, as its entry
+        relies on that, so it limits the lease until the runner confirms its stop.
         """
         end = now + self._times.hold
         for run in runs:
-            if run.phase is Phase.STOPPING and run.settled is None:
-                end = min(end, run.unwanted + self._times.hold)
+            if run.phase is Phase.STOPPING and run.confirmed_at is None:
+                end = min(end, run.unwanted_since + self._times.hold)
         return end
 
     def is_enough(self, now: float, end: float) -> bool:
@@ -37,24 +37,24 @@
         return end >= now + MIN_LEASE
 
     def grant(self, end: float) -> None:
-        """Note that an order brings the runner a lease until `end`."""
+        """Note that an order grants the runner a lease until `end`."""
         self._end = max(self._end, end)
 
-    def may_have_strayed(self, now: float) -> None:
-        """Note that the runner's next life may by now have carried an order out for the last."""
+    def extend_for_late_order(self, now: float) -> None:
+        """Note that the runner's next incarnation may just have executed an order to the last."""
         self._end = max(self._end, now + self._times.strayed)
 
-    def stood_still(self, seconds: float) -> None:
-        """Note that the runner's clock may not have moved for so long, as its host was suspended.
+    def clock_paused(self, seconds: float) -> None:
+        """Extend the lease, as the runner's clock may have stopped while its host was suspended.
 
-        A lease that has just been granted is unaffected by it; that it counts as longer is safe.
+        A lease that was granted since is not affected by it; to count it as longer is safe.
         """
         self._end += seconds
 
-    def over_for(self, now: float) -> float:
-        """Return for how many seconds the lease has been over; negative if it is not."""
+    def seconds_past_end(self, now: float) -> float:
+        """Return the seconds since the lease ended; negative until then."""
         return now - self._end
 
-    def has_killed(self, now: float) -> bool:
-        """Whether nothing can be at work any more, however slow the runner's clock is."""
-        return self.over_for(now) > self._times.overrun
+    def has_surely_expired(self, now: float) -> bool:
+        """Whether the lease has ended however slow the runner's clock is, so that nothing runs."""
+        return self.seconds_past_end(now) > self._times.overrun
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -1,4 +1,4 @@
-"""Notices at a target that its runner is lost with all that ran on it, or answers again."""
+"""Reports of a target that its runner is lost with all its runs, or answers again."""
 
 from dataclasses import dataclass
 from typing import final
@@ -19,113 +19,115 @@
 )
 
 SILENT = "silent"
-"""How a life was lost that gave no answer until its lease was over."""
+"""The incarnation gave no answer until its lease ended."""
 
 REPLACED = "replaced"
-"""How a life was lost in whose place another one answers."""
+"""Another incarnation answers in its place."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Silence:
-    """A loss that was told of a life that may yet answer, and what was known to be at work."""
+class _UnconfirmedLoss:
+    """A reported loss of an incarnation that may yet answer, and the tasks known to be running."""
 
     lost: RunnerLost
-    at_work: list[TaskId]
+    started: list[TaskId]
 
 
 @final
 class RunnerLosses:
-    """Losses of one runner, as far as looks show them. Times are steady seconds.
+    """Losses of one runner, as detected by polls. Times are steady seconds.
 
-    A life that gives no answer until its lease is over may have ended, or be cut off, or stand
-    still, or lose what it is asked. That it has ended is known once another life answers in its
-    place; what its runs did after they were seen last is not known even then.
+    An incarnation that does not answer until its lease ends may have ended, be partitioned, be
+    paused or miss its requests. Only another incarnation's answer shows that it has ended, and even
+    then it is unknown what its runs did after they were last listed.
     """
 
     def __init__(self) -> None:
         self._silent_since: float | None = None
-        """When a look had no answer for the first time since one had; None if the last one had."""
-        self._told: LossId | None = None
-        """What was told of the life that is known, as silent or lost, if it may answer again."""
-        self._silence: _Silence | None = None
-        """Its loss, if it gave no sign since that was told."""
+        """Time of the first failed poll since the last answered one; None if that was the last."""
+        self._reported: LossId | None = None
+        """The reported silence or loss of the current incarnation, if it may answer again."""
+        self._unconfirmed: _UnconfirmedLoss | None = None
+        """Its loss, if it has given no sign since the report."""
         self._news: list[LossNews] = []
 
     def take_news(self) -> list[LossNews]:
-        """Return which lives fell silent or were lost with their runs, or answer again, once."""
+        """Return the new reports of silences, losses and returns, and forget them."""
         news = self._news
         self._news = []
         return news
 
-    def answered(self) -> None:
-        """Note that the life that is known answered a look."""
+    def poll_answered(self) -> None:
+        """Note that the current incarnation answered a poll."""
         self._silent_since = None
-        self._silence = None
-        self._take_back()
+        self._unconfirmed = None
+        self._withdraw()
 
-    def spoke(self) -> None:
-        """Note a heartbeat of the life that is known: it outlived what it was lost with.
+    def heartbeat_received(self) -> None:
+        """Note a heartbeat of the current incarnation: it outlived the runs that it was lost with.
 
-        That is no answer: the heartbeat may have been held back since before the loss.
+        It does not undo a reported loss, as it may have been delayed since before that.
         """
-        self._silence = None
+        self._unconfirmed = None
 
-    def unanswered(self, now: float) -> None:
-        """Note that a look had no answer."""
+    def poll_failed(self, now: float) -> None:
+        """Note that a poll had no answer."""
         if self._silent_since is None:
             self._silent_since = now
 
-    def silent(self, now: float, status: RunnerStatus | None, table: RunTable) -> None:
-        """Note that looks in a row had no answer, with runs at work: it may have been lost."""
+    def report_silent(self, now: float, status: RunnerStatus | None, table: RunTable) -> None:
+        """Report that several consecutive polls failed while runs were running."""
         if status is not None and not status.leaving and _own(table):
-            self._told = self._loss(now, status)
-            self._news.append(RunnerSilent(self._told, *self._at_work(now, table)))
+            self._reported = self._loss(now, status)
+            self._news.append(RunnerSilent(self._reported, *self._affected(now, table)))
 
-    def given_up(self, now: float, status: RunnerStatus | None, table: RunTable) -> Log:
-        """Note that what runs there can't be at work any more, as no look had an answer."""
+    def report_lost(self, now: float, status: RunnerStatus | None, table: RunTable) -> Log:
+        """Report the runner as lost: no poll was answered until its lease ended."""
         return self._lose(now, status, table, SILENT)
 
-    def replaced(self, now: float, status: RunnerStatus | None, table: RunTable) -> list[Log]:
-        """Note that the life that was known has ended; it won't answer again."""
+    def report_replaced(
+        self, now: float, status: RunnerStatus | None, table: RunTable
+    ) -> list[Log]:
+        """Report that the current incarnation has ended and another one answers."""
         logs = [self._lose(now, status, table, REPLACED)] if _own(table) else []
         if status is not None and status.leaving:
-            # It said meanwhile that it ends: its silence was no sign of a loss.
-            self._take_back()
-        elif self._silence is not None:
-            # Given up while it was silent: that it has ended is known by now.
-            self._news.append(replace(self._silence.lost, ended=self._silence.at_work))
+            # It announced its end meanwhile, so it is not lost.
+            self._withdraw()
+        elif self._unconfirmed is not None:
+            # It was reported lost while silent; now it is known to have ended.
+            self._news.append(replace(self._unconfirmed.lost, ended=self._unconfirmed.started))
         self._silent_since = None
-        self._told = None
-        self._silence = None
+        self._reported = None
+        self._unconfirmed = None
         return logs
 
     def _lose(self, now: float, status: RunnerStatus | None, table: RunTable, how: str) -> Log:
-        """Tell of a life and its runs, unless it had said that it ends."""
+        """Report the loss of the incarnation with its runs, unless it had announced its end."""
         if status is not None and not status.leaving:
-            self._tell(now, status, table, ended=how == REPLACED)
+            self._report(now, status, table, ended=how == REPLACED)
         else:
-            # It said meanwhile that it ends: its silence was no sign of a loss.
-            self._take_back()
+            # It announced its end meanwhile, so it is not lost.
+            self._withdraw()
         runner = str(status.runner) if status else ""
         return runner_lost_note(runner, how, self._since(now), _own(table))
 
-    def _tell(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
-        self._told = self._loss(now, status)
-        lost = RunnerLost(self._told, *self._at_work(now, table))
-        known = {run.id.task for run in _own(table) if run.at_work}
-        at_work = [task for task in lost.tasks if task in known]
+    def _report(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
+        self._reported = self._loss(now, status)
+        lost = RunnerLost(self._reported, *self._affected(now, table))
+        started_tasks = {run.id.task for run in _own(table) if run.has_started}
+        started = [task for task in lost.tasks if task in started_tasks]
         if ended:
-            self._news.append(replace(lost, ended=at_work))
+            self._news.append(replace(lost, ended=started))
             return
         self._news.append(lost)
-        if lost.tasks or self._silence is None:
-            self._silence = _Silence(lost, at_work)
+        if lost.tasks or self._unconfirmed is None:
+            self._unconfirmed = _UnconfirmedLoss(lost, started)
 
-    def _take_back(self) -> None:
-        if self._told is not None:
-            self._news.append(RunnerReturned(self._told))
-            self._told = None
+    def _withdraw(self) -> None:
+        if self._reported is not None:
+            self._news.append(RunnerReturned(self._reported))
+            self._reported = None
 
     def _since(self, now: float) -> float:
         return now if self._silent_since is None else self._silent_since
@@ -133,19 +135,19 @@
     def _loss(self, now: float, status: RunnerStatus) -> LossId:
         return LossId.of(status.runner, int(self._since(now) * 1000))
 
-    def _at_work(self, now: float, table: RunTable) -> tuple[list[TaskId], list[str], list[int]]:
-        """Return the tasks at work in order, the queue of each, and its milliseconds of work.
+    def _affected(self, now: float, table: RunTable) -> tuple[list[TaskId], list[str], list[int]]:
+        """Return the affected tasks in order, with the queue and the milliseconds of work of each.
 
-        What was ordered after the first look without an answer did not take the runner down.
+        Runs ordered after the first failed poll are left out: they can't have crashed the runner.
         """
         since = self._since(now)
-        began = (run for run in _own(table) if run.began < since or self._silent_since is None)
-        newest = {run.id.task: run for run in sorted(began, key=lambda run: run.began)}
+        runs = (run for run in _own(table) if run.decided_at < since or self._silent_since is None)
+        newest = {run.id.task: run for run in sorted(runs, key=lambda run: run.decided_at)}
         tasks = sorted(newest)
-        worked = [max(0, round((since - newest[task].began) * 1000)) for task in tasks]
+        worked = [max(0, round((since - newest[task].decided_at) * 1000)) for task in tasks]
         return tasks, [newest[task].queue for task in tasks], worked
 
 
 def _own(table: RunTable) -> list[Run]:
-    """Return the runs that are the known life's own: none that the life before it was ordered."""
-    return [run for run in table if not run.outlived]
+    """Return the runs that the current incarnation was ordered: none that are orphaned."""
+    return [run for run in table if not run.is_orphaned]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
@@ -9,23 +9,23 @@
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.wire import End
 
-MOST_NAMED = 16
-"""Runs that one line names; a runner seldom has more at work."""
+MAX_RUNS_LISTED = 16
+"""Maximum number of runs listed in one log line."""
 
 
 def runner_lost_note(runner: str, how: str, silent_since: float, runs: Iterable[Run]) -> Log:
-    """Return the line that says what was at work on a runner that is lost, and for how long.
+    """Return the log line for a lost runner, with its runs and the time each had been running.
 
-    `how`: silent (no answer until its lease was over) or replaced (another life answers). Times are
-    milliseconds from a run's start until the runner fell silent.
+    `how`: silent (no answer until its lease ended) or replaced (another incarnation answers). Times
+    are milliseconds from the decision to start a run until the runner stopped answering.
     """
-    worked = [f"{run.id}:{max(0, round((silent_since - run.began) * 1000))}" for run in runs]
-    named = ",".join(worked[:MOST_NAMED])
+    worked = [f"{run.id}:{max(0, round((silent_since - run.decided_at) * 1000))}" for run in runs]
+    named = ",".join(worked[:MAX_RUNS_LISTED])
     return note("runner_lost", runner=runner, how=how, runs=len(worked), worked_ms=named)
 
 
 def ended_note(run: Run, end: End, reason: str) -> Log:
-    """Return the line that says how a run ended, or why it did not begin."""
+    """Return the log line for how a run ended, or why it did not start."""
     fields: dict[str, str | int | float] = {
         "run": run.id.number,
         "end": end.name.lower(),
@@ -36,19 +36,19 @@
     return note("run_ended", str(run.id.task), **fields)
 
 
-def lapsed_note(run: Run, over: float) -> Log:
-    """Return the line that says why a run counts as lost: its lease ended `over` seconds ago."""
+def lapsed_note(run: Run, seconds: float) -> Log:
+    """Return the log line for a run that is lost as its lease ended `seconds` ago."""
     fields: dict[str, str | int | float] = {
         "run": run.id.number,
         "phase": run.phase.name.lower(),
-        "lease_over_ms": round(over * 1000),
-        "answered": run.settled is not None,
+        "lease_over_ms": round(seconds * 1000),
+        "answered": run.confirmed_at is not None,
     }
     return note("run_lapsed", str(run.id.task), **fields)
 
 
 def late_note(status: RunnerStatus, known: RunnerIncarnation | None) -> Log:
-    """Return the line on an account that is passed over; `known`: the life that is followed."""
+    """Return the log line for an ignored, late heartbeat; `known` is the current incarnation."""
     fields: dict[str, str | int | float] = {
         "runner": str(status.runner),
         "sequence": status.sequence,
@@ -59,7 +59,7 @@
 
 
 def resized_note(status: RunnerStatus, before: Resources) -> Log:
-    """Return the line that says what a runner that goes on running has now, and had before."""
+    """Return the log line for a changed capacity of a running runner."""
     now = status.capacity
     fields: dict[str, str | int | float] = {
         "runner": str(status.runner),
@@ -74,6 +74,6 @@
 
 
 def rejected_note(run: Run, used: int) -> Log:
-    """Return the line that says that the runner had no room, and what was thought to be `used`."""
+    """Return the log line for a start that the runner rejected while `used` was thought in use."""
     fields: dict[str, str | int | float] = {"used": used, "run": run.id.number}
     return note("start_rejected", str(run.id.task), **fields)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
@@ -1,4 +1,4 @@
-"""The runs that a target knows of, and the room that they take on its runner."""
+"""The runs that a target knows of, and the resources that they use on its runner."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 
 class Phase(Enum):
-    """Where a run is on its way; in each of these it takes room."""
+    """State of a run; in each of these it uses resources."""
 
     STARTING = auto()
     RUNNING = auto()
@@ -21,7 +21,7 @@
 @final
 @dataclass(slots=True)
 class Run:
-    """One run: whose it is, what it needs, and how far it is. Times are steady seconds."""
+    """One run: its entry, its needs and its progress. Times are steady seconds."""
 
     id: RunId
     entry: str
@@ -30,55 +30,55 @@
     estimate: float
     expires: float
     queue: str = ""
-    began: float = 0.0
-    """When its start was decided."""
+    decided_at: float = 0.0
+    """Time at which its start was decided."""
     phase: Phase = Phase.STARTING
-    ordered: float = 0.0
-    """When the last order about it was sent."""
-    settled: float | None = None
-    """When the runner confirmed that order; None while it has not."""
-    doubted: float | None = None
-    """When an order to start got no answer; None if it did, or was seen at work since."""
-    still: int = 0
-    """Looks in a row that showed no progress."""
+    ordered_at: float = 0.0
+    """Time at which the last order about it was sent."""
+    confirmed_at: float | None = None
+    """Time at which the runner confirmed that order; None until then."""
+    unanswered_at: float | None = None
+    """Time at which its start turned out unanswered; None if answered, or listed since."""
+    stalled_polls: int = 0
+    """Consecutive polls that showed no progress."""
     percent: int = 0
-    ahead: float = 0.0
-    """Seconds beyond `percent` that it may have done and that are counted, up to a hundredth."""
-    moved: float = 0.0
-    """When `percent` last rose."""
-    seen: float = 0.0
-    """Which moment the last look at `percent` showed."""
-    ending: End = End.STOPPED
-    """What to tell the entry once a stop is done."""
-    unwanted: float = 0.0
-    """Since when nobody has a right to it, if it is being stopped."""
-    at_work: bool = False
-    """Whether it is known to have begun: its start was answered, or a look showed it."""
+    unreported_work: float = 0.0
+    """Seconds of work counted beyond `percent`, at most one percent of the estimate."""
+    progressed_at: float = 0.0
+    """Time at which `percent` last increased."""
+    observed_at: float = 0.0
+    """Time of the moment that the last poll showed."""
+    end_after_stop: End = End.STOPPED
+    """The end to report to the entry once it is stopped."""
+    unwanted_since: float = 0.0
+    """Time since which it has been unwanted, if it is being stopped."""
+    has_started: bool = False
+    """Whether it is known to have started: its start was answered, or a poll listed it."""
     may_have_ended: bool = False
-    """Whether an end was listed that may be its own: it can't be said to have never run."""
+    """Whether a listed end may be its own, so that it can't be reported as not started."""
 
-    outlived: bool = False
-    """Whether the life that it was ordered of has ended, and the next one may have it yet."""
+    is_orphaned: bool = False
+    """Whether the incarnation it was ordered from has ended, and the next one may yet run it."""
 
-    def outlive(self, now: float) -> None:
-        """Note that its life has ended: if the next one under the same id has it, it must stop."""
+    def orphan(self, now: float) -> None:
+        """Note that its runner's incarnation has ended; if the next one runs it, it must stop."""
         self.phase = Phase.STOPPING
-        self.unwanted = self.settled = now
-        self.doubted = None
-        self.ending = End.LOST
-        self.outlived = True
+        self.unwanted_since = self.confirmed_at = now
+        self.unanswered_at = None
+        self.end_after_stop = End.LOST
+        self.is_orphaned = True
 
     def note_unread_end(self) -> None:
-        """Note that an end was listed of which the run could not be read."""
+        """Note that an end was listed whose run could not be read."""
         self.may_have_ended = True
-        if self.ending is End.NOT_STARTED:
-            self.ending = End.LOST
+        if self.end_after_stop is End.NOT_STARTED:
+            self.end_after_stop = End.LOST
 
-    def begin(self, now: float) -> None:
-        """Note that it is known to be at work; what passed before that is not its runner's time."""
+    def mark_running(self, now: float) -> None:
+        """Mark the run as running; the time before is not counted against its runner."""
         self.phase = Phase.RUNNING
-        self.at_work = True
-        self.moved = self.seen = now
+        self.has_started = True
+        self.progressed_at = self.observed_at = now
 
 
 @final
@@ -112,7 +112,7 @@
         self.used += run.need
 
     def drop(self, run: Run) -> None:
-        """Forget a run and free what it used."""
+        """Remove a run and free what it used."""
         del self._runs[run.id]
         self._tasks[run.id.task] -= 1
         self._entries[run.entry] -= 1
@@ -129,5 +129,5 @@
         return self._entries[entry] > 0
 
     def of_entry(self, entry: str) -> list[Run]:
-        """Return the runs of one entry's session."""
+        """Return the runs of an entry."""
         return [run for run in self._runs.values() if run.entry == entry]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/statuscheck.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/statuscheck.py
@@ -1,7 +1,8 @@
-"""Whether an account contradicts what the same life of a runner has said of itself before.
+"""Check of a runner's status against what the same incarnation has reported before.
 
-A life keeps its service, its hall and its labels. Another writer's word for it may name others, and
-would take the runner out of its pool; so these are followed once they were said twice in a row.
+An incarnation keeps its service, hall and labels. A heartbeat that another process sends in its
+name may have others and would move the runner to another pool, so a change of these is accepted
+only once it has been received twice in a row.
 """
 
 from typing import final
@@ -13,24 +14,32 @@
 
 @final
 class StatusCheck:
-    """The contradiction that was said last, if any."""
+    """Remembers the last contradicting status, if any."""
 
     def __init__(self) -> None:
-        self._said: RunnerStatus | None = None
-
-    def contradicts(self, known: RunnerStatus | None, told: RunnerStatus) -> bool:
-        """Whether `told` is to be passed over, as the known account says otherwise."""
-        said, self._said = self._said, None
-        if known is None or not known.runner.may_be_same(told.runner) or _agree(known, told):
+        self._contradicting: RunnerStatus | None = None
+
+    def contradicts(self, known: RunnerStatus | None, received: RunnerStatus) -> bool:
+        """Whether `received` is to be ignored because it contradicts the known status."""
+        previous, self._contradicting = self._contradicting, None
+        if (
+            known is None
+            or not known.runner.may_be_same(received.runner)
+            or _agree(known, received)
+        ):
             return False
-        if said is not None and said.runner == told.runner and _agree(said, told):
+        if (
+            previous is not None
+            and previous.runner == received.runner
+            and _agree(previous, received)
+        ):
             return False
-        self._said = told
+        self._contradicting = received
         return True
 
 
 def contradicting_status_note(status: RunnerStatus) -> Log:
-    """Return the line on an account that is passed over."""
+    """Return the log line for an ignored, contradicting status."""
     return note(
         "heartbeat_contradicts",
         runner=str(status.runner),
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/stopping.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/stopping.py
@@ -1,4 +1,4 @@
-"""Orders to stop a run, sent until the runner confirms one."""
+"""Orders to stop a run, repeated until the runner confirms one."""
 
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.orders import StopRun
@@ -10,28 +10,30 @@
 
 
 def stop(
-    now: float, run: Run, ending: End, reason: str, since: float | None = None
+    now: float, run: Run, end: End, reason: str, since: float | None = None
 ) -> list[StopRun | Log]:
-    """Stop a run to which nobody has had a right `since`, or from now on.
+    """Stop a run that has been unwanted `since` that time (default: now), to end as `end`.
 
-    A run whose order to start is under way is stopped when that is answered.
+    If its order to start has not been answered yet, the stop is sent once it has.
     """
-    under_way = run.phase is Phase.STARTING and run.settled is None and run.doubted is None
+    start_in_flight = (
+        run.phase is Phase.STARTING and run.confirmed_at is None and run.unanswered_at is None
+    )
     run.phase = Phase.STOPPING
-    run.unwanted = now if since is None else since
-    run.doubted = None
-    run.ending = End.LOST if run.may_have_ended and ending is End.NOT_STARTED else ending
+    run.unwanted_since = now if since is None else since
+    run.unanswered_at = None
+    run.end_after_stop = End.LOST if run.may_have_ended and end is End.NOT_STARTED else end
     log = note("run_stopping", str(run.id.task), run=run.id.number, reason=reason)
-    if under_way:
+    if start_in_flight:
         return [log]
-    run.ordered = now
-    run.settled = None
+    run.ordered_at = now
+    run.confirmed_at = None
     return [log, StopRun(run.id)]
 
 
 def stop_again(now: float, run: Run) -> list[StopRun | Log]:
-    """Send the order once more if the runner has not confirmed it in time."""
-    if run.settled is not None or now <= run.ordered + STOP_RETRY:
+    """Repeat the order if the runner has not confirmed it within `STOP_RETRY`."""
+    if run.confirmed_at is not None or now <= run.ordered_at + STOP_RETRY:
         return []
-    run.ordered = now
+    run.ordered_at = now
     return [StopRun(run.id)]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -1,9 +1,9 @@
-"""The target: gives orders to the one runner beside it, for the entries that hold a session.
+"""A target: runs tasks on its local runner for the entries that it has sessions with.
 
-It starts nothing that doesn't fit and nothing under a session whose lease is not in force, keeps
-the runner's lease alive while an entry's session is, stops what an ended session has left, and
-tells how each run ended. Feed it messages, answers of
-the runner and ticks; it returns orders for the runner, and frames to send lie in its sessions.
+It starts only runs that fit and whose session's lease is in force, renews the runner's lease while
+an entry's session lasts, stops the runs of ended sessions, and reports how each run ended. Its
+inputs are messages, the runner's answers and ticks. It returns orders for the runner; its sessions
+hold the frames to send.
 """
 
 from typing import final
@@ -38,14 +38,14 @@
     Want,
 )
 
-STILL_HEARTBEATS = 2.0
-"""Heartbeats without a tick after which this process is taken to have stood still."""
+PAUSE_HEARTBEATS = 2.0
+"""Heartbeat intervals without a tick after which this process counts as having been paused."""
 
-BEAT_PHASES = 8
-"""Moments between two idle heartbeats of one session at which those of others leave."""
+HEARTBEAT_PHASES = 8
+"""Number of phases in an interval over which the sessions' idle heartbeats are spread."""
 
-RETIRE_SECONDS = 0.3
-"""Shortest time for which an entry is told to send nothing more, before its session ends."""
+RETIRE_GRACE = 0.3
+"""Seconds from asking an entry to send nothing more until its session may end."""
 
 
 @final
@@ -61,38 +61,36 @@
         self._offers = Offers()
         self._reporter = Reporter(times, self._control, self._offers)
         self._losses = LossBook()
-        """What this target saw of its own runner, for entries that it meets later."""
-        self._pauses = StandStill(STILL_HEARTBEATS * times.heartbeat)
+        """Losses of this target's runner, to be reported to entries that connect later."""
+        self._pauses = StandStill(PAUSE_HEARTBEATS * times.heartbeat)
         self.sheds = False
-        """Whether this host's link is pressed, so that reports that can wait go with heartbeats."""
-
-    # What others ask about this target.
+        """Whether the host's link is overloaded, so that non-urgent reports wait for heartbeats."""
 
     @property
     def runner_status(self) -> RunnerStatus | None:
-        """The runner's last account of itself."""
+        """The runner's last status."""
         return self._control.status
 
     @property
     def idle(self) -> bool:
-        """Whether no run is here."""
+        """Whether there are no runs."""
         return not len(self._control.table)
 
     @property
     def runs(self) -> int:
-        """Runs at work here."""
+        """Number of runs."""
         return len(self._control.table)
 
     def echo_age(self, now: float) -> float | None:
-        """Return how old the newest echo of a good quarter of the entries is; None without any.
+        """Return the age within which over a quarter of the held sessions were echoed, in seconds.
 
-        Only sessions that are held are renewed all the time.
+        None without any. Other sessions are not renewed all the time.
         """
         held = (link.session for name, link in self._links.items() if self._is_held(name))
         return good_echo_age(now, (session for session in held if session is not None))
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return a summary of the state for a dump."""
+        """Return the state for a dump."""
         control = self._control
         return {
             "runner": str(control.status.runner) if control.status else "",
@@ -120,29 +118,27 @@
             },
         }
 
-    # Sessions.
-
     def may_open(self, entry: str) -> bool:
-        """Whether a new session with `entry` may begin: nothing of an older one is left."""
+        """Whether a new session with `entry` may begin: no run of an older one is left."""
         return self._control.clean and not self._control.table.of_entry(entry)
 
     def session_names(self) -> set[str]:
-        """Return the entries that a session is open with."""
+        """Return the entries with an open session."""
         return {name for name, link in self._links.items() if link.session is not None}
 
     def held_names(self) -> set[str]:
-        """Return the entries whose session is held: something runs for them or is on its way."""
+        """Return the entries whose session is held: they have runs, or some on their way."""
         return {name for name in self._links if self._is_held(name)}
 
     def session(self, entry: str) -> Session | None:
-        """Return the session with an entry."""
+        """Return the session with an entry, if there is one."""
         link = self._links.get(entry)
         return link.session if link else None
 
-    def greeting_answered(self, now: float, hello: Hello, said: float) -> list[Effect]:
-        """Take an entry's answer to the greeting that was sent at `said`.
+    def greeting_answered(self, now: float, hello: Hello, greeted_at: float) -> list[Effect]:
+        """Open or resume a session, as an entry has answered the greeting sent at `greeted_at`.
 
-        There is no session then if the one that the greeting named has ended since.
+        Nothing is opened if the session that the greeting named has ended since.
         """
         self._collect(now)
         link = self._links.setdefault(hello.name, EntryLink())
@@ -154,8 +150,8 @@
             link.resumed(now)
             return [note("session_resumed", entry=hello.name)]
         effects = self._end_session(now, hello.name, "replaced") if session else []
-        session = Session(hello.session, int(said * 1000))
-        link.phase = len(self.session_names()) % BEAT_PHASES / BEAT_PHASES
+        session = Session(hello.session, int(greeted_at * 1000))
+        link.phase = len(self.session_names()) % HEARTBEAT_PHASES / HEARTBEAT_PHASES
         link.open(now, hello.life, session)
         for loss in self._losses.all(now):
             session.send(loss)
@@ -163,18 +159,18 @@
         return [*effects, note("session_opened", **fields)]
 
     def session_left(self, now: float, entry: str) -> float:
-        """Return the seconds that are left of a session's lease; 0 or less if it is over."""
+        """Return the remaining seconds of a session's lease; 0 or less if it has ended."""
         session = self.session(entry)
         return 0.0 if session is None else session.confirmed_ms / 1000 + self._times.session - now
 
     def session_refused(self, now: float, entry: str) -> list[Effect]:
-        """Take an entry's word that it doesn't go on with the session."""
+        """End the session that an entry refuses to continue."""
         return self._end_session(now, entry, "refused") if self.session(entry) else []
 
     def frame_received(self, now: float, entry: str, frame: Frame) -> list[Effect]:
-        """Take a frame of an entry; one of an ended session is dropped.
+        """Handle a frame from an entry; drop it if there is no session.
 
-        Nothing starts before all of the frame is known: it may withdraw what it assigns.
+        Runs start after the whole frame is handled, as it may withdraw what it assigns.
         """
         link = self._links.get(entry)
         if link is None or link.session is None or link.session.misses(frame):
@@ -189,77 +185,75 @@
         return effects + self._start_pending(now, entry, link)
 
     def is_silent(self, now: float, entry: str) -> bool:
-        """Whether the connection with an entry is to be made anew: it does not answer."""
+        """Whether the connection to an entry is to be replaced, as the entry doesn't answer."""
         link = self._links.get(entry)
         if link is None or link.session is None:
             return True
         return link.is_silent(now, self._times, held=self._is_held(entry))
 
     def probe(self) -> None:
-        """Send all entries a heartbeat as soon as one may be: a connection has fallen silent."""
+        """Send all entries a heartbeat as soon as permitted, as a connection has become silent."""
         for link in self._links.values():
             link.probe()
 
     def seconds_silent(self, now: float, entry: str) -> float:
-        """Return the seconds since an entry was heard."""
+        """Return the seconds since the last frame from an entry."""
         link = self._links.get(entry)
         return now - link.heard if link else 0.0
 
     def next_frame(self, now: float, entry: str, *, beat: bool) -> Frame | None:
-        """Return the frame that is due to an entry, if any; `beat`: heartbeats may be sent now."""
+        """Return the frame that is due to an entry, if any; `beat` permits heartbeats."""
         link = self._links.get(entry)
         if link is None:
             return None
         return link.next_frame(now, self._times, held=self._is_held(entry), beat=beat)
 
-    # The runner.
-
     def classify(self, status: RunnerStatus) -> HeartbeatClass:
-        """Return what an account of the runner is worth."""
-        return self._control.lives.classify(status)
+        """Return how a heartbeat relates to the runner's current incarnation."""
+        return self._control.incarnations.classify(status)
 
     @property
     def incarnation(self) -> RunnerIncarnation | None:
-        """The life of the runner that is followed."""
-        return self._control.lives.current
+        """The runner's current incarnation."""
+        return self._control.incarnations.current
 
     @property
     def incarnation_changes(self) -> int:
-        """How often that has become another life, or none; one may also be told more of."""
-        return self._control.lives.changes
+        """Number of times `incarnation` was replaced or ended; a learnt start time doesn't count."""
+        return self._control.incarnations.changes
 
-    def incarnation_denied(self, life: RunnerIncarnation) -> None:
-        """Note that the runner says it is not this life: it has ended, or is yet to come."""
-        self._control.lives.deny(life)
+    def incarnation_denied(self, incarnation: RunnerIncarnation) -> None:
+        """Note that the runner denied to be this incarnation, which has ended or is yet to come."""
+        self._control.incarnations.deny(incarnation)
 
     def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
-        """Take the runner's account of itself."""
+        """Handle a heartbeat of the runner."""
         return self._control.heartbeat_received(now, status)
 
-    def runner_deregistered(self, now: float, life: RunnerIncarnation) -> list[Effect]:
-        """Take the runner's word that it ends now."""
-        return self._control.runner_deregistered(now, life)
+    def runner_deregistered(self, now: float, incarnation: RunnerIncarnation) -> list[Effect]:
+        """Handle the runner's notice that it ends now."""
+        return self._control.runner_deregistered(now, incarnation)
 
     def next_poll(self, now: float) -> Poll:
-        """Return the look to send now; it counts as sent.
+        """Return the poll to send to the runner now, and count it as sent.
 
-        It renews the runner's lease while something is at work and a session's lease is in force.
+        It renews the runner's lease while there are runs and a session's lease is in force.
         """
         return self._control.next_poll(now, renew=self._any_needs_lease(now))
 
     def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
-        """Take the runner's lists of what runs and what has ended."""
+        """Handle the runner's lists of running and finished runs."""
         return self._control.poll_answered(now, answer)
 
     def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
-        """Take a renewal that got no answer, or the answer that another life runs there."""
+        """Handle a poll without an answer, or one that another incarnation answered."""
         return self._control.poll_failed(now, other_life=other_life)
 
     def may_send(self, now: float, id_: RunId, entry: str) -> bool:
-        """Whether an order to start may leave now; ask right before it is sent.
+        """Whether an order to start may still be sent; to be checked right before sending it.
 
-        What it was decided on may have changed since: its caller may have left, its entry's session
-        may be over, or its data hall evacuated.
+        Since the decision, the caller may have left, the session may have ended, or the data hall
+        may have been evacuated.
         """
         link = self._links.get(entry)
         if link is None or not link.is_confirmed(now, self._times):
@@ -267,28 +261,25 @@
         return self._control.may_send(id_)
 
     def start_answered(self, now: float, id_: RunId, answer: StartAnswer) -> list[Effect]:
-        """Take what became of an order to start."""
+        """Handle the outcome of an order to start."""
         return self._control.start_answered(now, id_, answer)
 
     def stop_answered(self, now: float, id_: RunId, *, done: bool) -> list[Effect]:
-        """Take what became of an order to stop; an unanswered one is sent again."""
+        """Handle the outcome of an order to stop; an unanswered one is sent again."""
         return self._control.stop_answered(now, id_, done=done)
 
-    # Time.
-
     def suspended(self, seconds: float) -> list[Effect]:
-        """Note that the host was suspended: the runner beside it may have been as well.
+        """Note that the host, and so maybe the runner, was suspended for some seconds.
 
-        What was decided before is judged by the time that has passed. Only the runner's lease may
-        not have run down meanwhile, so nothing on it is taken for killed any sooner, and that its
-        runs did not get on meanwhile is no fault of it.
+        Deadlines of earlier decisions stay. But the runner's lease may not have run down meanwhile,
+        so its runs are not taken for killed any sooner, nor blamed for a lack of progress.
         """
-        self._control.runner_stood_still(seconds)
+        self._control.runner_paused(seconds)
         return [note("host_suspended", seconds=round(seconds, 3), runs=self.runs)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Act on the passing of time."""
-        effects = self._notice_pause(now)
+        """End sessions whose lease has ended, start pending runs, and check the running ones."""
+        effects = self._log_pause(now)
         for name, link in self._links.items():
             if link.session is not None and self._is_over(now, name):
                 effects += self._end_session(now, name, "silent")
@@ -296,36 +287,34 @@
         return effects + self._control.tick(now)
 
     def leave(self, now: float) -> list[Effect]:
-        """Start nothing more."""
+        """Start no more runs."""
         self._control.leave()
         return [note("leaving", runs=self.runs)]
 
     def retire(self, now: float, preferred: set[str]) -> list[Effect]:
-        """End the sessions with other entries than `preferred`, once they have no work here."""
+        """End the sessions with entries that are not `preferred`, once they have no runs here."""
         effects: list[Effect] = []
         for name, link in self._links.items():
             if link.session is None or name in preferred:
                 link.retired = None
             elif link.retired is None:
                 link.retired = now
-            elif now > link.retired + RETIRE_SECONDS and not self._has_work(name):
+            elif now > link.retired + RETIRE_GRACE and not self._has_work(name):
                 effects += self._end_session(now, name, "other_entries_preferred")
         return effects
 
     def prepare_frames(self, now: float) -> float | None:
-        """Put ends and reports that are due into the sessions; return when the next is due."""
+        """Put due ends and reports into the sessions; return when the next is due, if any is."""
         self._collect(now)
         return self._reporter.prepare(now, self._links, sheds=self.sheds)
 
-    # Inside.
-
-    def _notice_pause(self, now: float) -> list[Effect]:
-        """Tell of a stand-still: what was decided before it may be out of date."""
+    def _log_pause(self, now: float) -> list[Effect]:
+        """Log a pause of this process, before which decisions may be outdated."""
         seconds = self._pauses.moved(now)
         return [note("stood_still", seconds=round(seconds, 2), runs=self.runs)] if seconds else []
 
     def _has_work(self, entry: str) -> bool:
-        """Whether something runs for an entry, or is to start."""
+        """Whether an entry has runs, or pending ones."""
         return self._control.table.has_entry(entry) or bool(self._links[entry].pending)
 
     def _is_held(self, entry: str) -> bool:
@@ -343,14 +332,14 @@
 
     def _end_session(self, now: float, entry: str, reason: str) -> list[Effect]:
         link = self._links[entry]
-        over = now + min(0.0, self.session_left(now, entry))
+        ended_at = now + min(0.0, self.session_left(now, entry))
         self._collect(now)
         link.drop()
         self._offers.drop(entry)
         effects: list[Effect] = []
         runs = self._control.table.of_entry(entry)
         for run in runs:
-            effects += self._control.cancel(now, run, "session_ended", over)
+            effects += self._control.cancel(now, run, "session_ended", ended_at)
         fields: dict[str, str | int | float] = {"entry": entry, "reason": reason, "runs": len(runs)}
         return [note("session_ended", **fields), *effects]
 
@@ -362,7 +351,7 @@
             case Decline():
                 self._offers.drop(entry)
             case EvacuationNews():
-                return self._learn(entry, body)
+                return self._update_evacuations(entry, body)
             case Want():
                 self._offers.want(entry, body.need, now + body.within_ms / 1000)
             case Stop():
@@ -375,8 +364,8 @@
                 ]
         return []
 
-    def _learn(self, entry: str, news: EvacuationNews) -> list[Effect]:
-        """Follow an entry's word of evacuated halls, or tell it a later one."""
+    def _update_evacuations(self, entry: str, news: EvacuationNews) -> list[Effect]:
+        """Adopt an entry's list of evacuated halls, or send it a newer one."""
         evacuations = self._control.evacuations
         if evacuations.outdates(news.evacuated):
             session = self.session(entry)
@@ -388,7 +377,7 @@
         return [evacuation_note(evacuations, entry)]
 
     def _assign(self, now: float, entry: str, body: Assign) -> None:
-        """Keep runs until all of the frame is known, and the session's lease is in force."""
+        """Hold runs until the frame is handled and the session's lease is in force."""
         link = self._links[entry]
         link.report_due = True
         runs = [_run(now, entry, body, index, number) for index, number in body.runs]
@@ -396,16 +385,16 @@
         link.ends += [(run.id, End.NOT_STARTED) for run in excess]
 
     def _start_pending(self, now: float, entry: str, link: EntryLink) -> list[Effect]:
-        """Start what is pending if the session's lease is in force; give back what is too old."""
+        """Start pending runs if the session's lease is in force; return those that are too old."""
         if not link.pending:
             return []
         control = self._control
         runs, stale = link.take_confirmed(now, self._times)
-        takes = control.state() is RunnerState.READY and control.level is not Health.SICK
-        # A known run of the task belongs to an earlier try of the job, which is being stopped.
-        new = [run for run in runs if takes and not control.table.has_task(run.id.task)]
-        back = [run for run in runs if run not in new] + stale
-        link.ends += [(run.id, End.NOT_STARTED) for run in back]
+        accepts = control.state() is RunnerState.READY and control.level is not Health.SICK
+        # A known run of the task is from an earlier attempt at the job and is being stopped.
+        new = [run for run in runs if accepts and not control.table.has_task(run.id.task)]
+        returned = [run for run in runs if run not in new] + stale
+        link.ends += [(run.id, End.NOT_STARTED) for run in returned]
         effects = control.add(now, new)
         if stale:
             fields: dict[str, str | int | float] = {"entry": entry, "runs": len(stale)}
@@ -413,12 +402,12 @@
         return effects
 
     def _collect(self, now: float) -> None:
-        """Give each entry the ends of its runs, and all entries word of a lost runner before."""
+        """Pass losses of the runner to all entries, then each entry the ends of its runs."""
         for news in self._control.losses.take_news():
             self._losses.follow(now, news)
-            for known in self._links.values():
-                if known.session is not None:
-                    known.session.send(news)
+            for each in self._links.values():
+                if each.session is not None:
+                    each.session.send(news)
         for run, end in self._control.take_ends():
             link = self._links.get(run.entry)
             if link is not None and link.session is not None:
--- a/testing/core/leased/test_foreignruns.py
+++ b/testing/core/leased/test_foreignruns.py
@@ -25,27 +25,27 @@
 
 
 def test_a_full_list_without_any_shows_that_none_is_there(foreign: ForeignRuns) -> None:
-    foreign.meet(10.0)
-    foreign.read(PollAnswer(10.1, [], []), {})
+    foreign.reset(10.0)
+    foreign.update(PollAnswer(10.1, [], []), {})
     assert foreign.clean
 
 
 def test_a_list_from_before_the_life_was_met_shows_nothing(foreign: ForeignRuns) -> None:
-    foreign.meet(10.0)
-    foreign.read(PollAnswer(9.9, [], []), {})
+    foreign.reset(10.0)
+    foreign.update(PollAnswer(9.9, [], []), {})
     assert not foreign.clean
 
 
 def test_one_that_is_listed_is_foreign_until_it_has_ended(foreign: ForeignRuns) -> None:
-    foreign.read(PollAnswer(1.0, LISTED, []), {})
+    foreign.update(PollAnswer(1.0, LISTED, []), {})
     assert list(foreign) == [RUN]
-    foreign.read(PollAnswer(1.1, LISTED, [FinishedRun(1, RUN, RunEnd.STOPPED)]), {})
+    foreign.update(PollAnswer(1.1, LISTED, [FinishedRun(1, RUN, RunEnd.STOPPED)]), {})
     assert not foreign
     assert foreign.clean
 
 
 def test_a_run_of_this_life_is_not_foreign(foreign: ForeignRuns) -> None:
-    foreign.read(PollAnswer(1.0, LISTED, []), {RUN})
+    foreign.update(PollAnswer(1.0, LISTED, []), {RUN})
     assert not foreign
 
 
@@ -54,42 +54,42 @@
     foreign: ForeignRuns, met: float | None
 ) -> None:
     if met is not None:
-        foreign.meet(met)
+        foreign.reset(met)
     for sent in (1.0, 1.0 + LONGEST):
-        foreign.read(PollAnswer(sent, [], [], partial=True), {})
+        foreign.update(PollAnswer(sent, [], [], partial=True), {})
         assert not foreign.clean
-    foreign.read(PollAnswer(1.01 + LONGEST, [], [], partial=True), {})
+    foreign.update(PollAnswer(1.01 + LONGEST, [], [], partial=True), {})
     assert foreign.clean
 
 
 def test_a_lease_that_was_granted_since_keeps_unreadable_rows_alive(
     foreign: ForeignRuns, lease: RunnerLease
 ) -> None:
-    foreign.meet(1.0)
+    foreign.reset(1.0)
     late = 1.1 + LONGEST
     lease.grant(late)
-    foreign.read(PollAnswer(late, [], [], partial=True), {})
+    foreign.update(PollAnswer(late, [], [], partial=True), {})
     assert not foreign.clean
-    foreign.read(PollAnswer(late + TIMES.overrun + 0.01, [], [], partial=True), {})
+    foreign.update(PollAnswer(late + TIMES.overrun + 0.01, [], [], partial=True), {})
     assert foreign.clean
 
 
 def test_a_host_that_was_suspended_gives_them_as_much_longer(foreign: ForeignRuns) -> None:
-    foreign.meet(1.0)
-    foreign.stood_still(3.0)
-    foreign.read(PollAnswer(2.0 + LONGEST, [], [], partial=True), {})
+    foreign.reset(1.0)
+    foreign.clock_paused(3.0)
+    foreign.update(PollAnswer(2.0 + LONGEST, [], [], partial=True), {})
     assert not foreign.clean
 
 
 def test_a_host_that_was_suspended_is_believed_its_next_full_list(foreign: ForeignRuns) -> None:
-    foreign.meet(1.0)
-    foreign.stood_still(3.0)
-    foreign.read(PollAnswer(1.1, [], []), {})
+    foreign.reset(1.0)
+    foreign.clock_paused(3.0)
+    foreign.update(PollAnswer(1.1, [], []), {})
     assert foreign.clean
 
 
 def test_a_readable_foreign_run_is_no_matter_of_time(foreign: ForeignRuns) -> None:
-    foreign.meet(1.0)
-    foreign.read(PollAnswer(5.0 + LONGEST, LISTED, [], partial=True), {})
+    foreign.reset(1.0)
+    foreign.update(PollAnswer(5.0 + LONGEST, LISTED, [], partial=True), {})
     assert foreign
     assert not foreign.clean
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -4,7 +4,7 @@
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.incarnations import MOST_SKIPPED, HeartbeatClass, Incarnations
+from paddleshunt_core.leased.incarnations import MAX_SEQUENCE_GAP, HeartbeatClass, Incarnations
 from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnercontrol import RunnerControl
@@ -58,7 +58,7 @@
         ([9000, 9001, 9002, 9000, 6], [9001, 9002]),
         ([9000, 8999, 9000, 9001], [9001]),
         ([9000, 20_000, 30_000, 40_000], [20_000, 40_000]),
-        ([5 + MOST_SKIPPED, 6], [5 + MOST_SKIPPED]),
+        ([5 + MAX_SEQUENCE_GAP, 6], [5 + MAX_SEQUENCE_GAP]),
         ([9000, 5, 9001], [9001]),
     ],
     ids=["one", "two", "same", "goes-on", "goes-back", "wide-steps", "near", "late-between"],
@@ -76,9 +76,9 @@
     if how == "replaced":
         lives.follow(NEXT)
     elif how == "left":
-        lives.end()
+        lives.end_current()
     else:
-        lives.note_ended(FIRST.runner)
+        lives.mark_ended(FIRST.runner)
     assert lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
 
 
@@ -88,7 +88,7 @@
     lives.follow(FIRST)
     lives.deny(NEXT.runner)
     assert lives.classify(replace(NEXT, sequence=2)) is HeartbeatClass.LATE
-    lives.end()
+    lives.end_current()
     assert lives.classify(replace(NEXT, sequence=3)) is HeartbeatClass.NEW
     assert lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
 
@@ -107,7 +107,7 @@
     if looked_at:
         found.poll_answered(1.1, PollAnswer(1.05, [], []))
     found.poll_failed(1.2, other_life=True)
-    assert found.lives.classify(replace(FIRST, sequence=6)) is expected
+    assert found.incarnations.classify(replace(FIRST, sequence=6)) is expected
 
 
 def control() -> RunnerControl:
@@ -156,23 +156,23 @@
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
 def test_another_life_under_the_same_id_has_to_be_confirmed(start: int) -> None:
-    assert known(5000).lives.classify(born(start)) is HeartbeatClass.UNCONFIRMED
+    assert known(5000).incarnations.classify(born(start)) is HeartbeatClass.UNCONFIRMED
 
 
 def test_a_word_that_tells_no_start_goes_by_its_id() -> None:
-    assert known(5000).lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
-    assert known(5000).lives.classify(replace(FIRST, sequence=10)) is HeartbeatClass.CURRENT
+    assert known(5000).incarnations.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
+    assert known(5000).incarnations.classify(replace(FIRST, sequence=10)) is HeartbeatClass.CURRENT
 
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
 def test_the_lists_decide_which_life_of_an_id_is_there(start: int) -> None:
     found = known(5000)
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=start))
-    assert found.lives.current == RunnerIncarnation("i-1", start)
+    assert found.incarnations.current == RunnerIncarnation("i-1", start)
     assert found.status is None
     assert found.state() is RunnerState.DOWN
-    assert found.lives.classify(born(5000, 10)) is HeartbeatClass.LATE
-    assert found.lives.classify(born(7000)) is HeartbeatClass.UNCONFIRMED
+    assert found.incarnations.classify(born(5000, 10)) is HeartbeatClass.LATE
+    assert found.incarnations.classify(born(7000)) is HeartbeatClass.UNCONFIRMED
     found.heartbeat_received(2.2, born(start))
     assert found.state() is RunnerState.READY
 
@@ -190,22 +190,22 @@
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, born(6000))
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=5000))
-    assert found.lives.current == RunnerIncarnation("i-1", 5000)
-    assert found.lives.classify(born(6000, 2)) is HeartbeatClass.UNCONFIRMED
+    assert found.incarnations.current == RunnerIncarnation("i-1", 5000)
+    assert found.incarnations.classify(born(6000, 2)) is HeartbeatClass.UNCONFIRMED
 
 
 def test_an_id_that_has_left_serves_again_in_its_next_life() -> None:
     found = known(5000)
     found.runner_deregistered(2.0, RunnerIncarnation("i-1", 5000))
-    assert found.lives.classify(born(5000, 10)) is HeartbeatClass.LATE
-    assert found.lives.classify(born(6000)) is HeartbeatClass.NEW
+    assert found.incarnations.classify(born(5000, 10)) is HeartbeatClass.LATE
+    assert found.incarnations.classify(born(6000)) is HeartbeatClass.NEW
 
 
 def test_a_word_of_an_end_that_names_no_start_is_believed_until_the_runner_says_otherwise() -> None:
     """It may be the late word of an earlier life under the id: what runs must go on."""
     found = known(5000)
     found.runner_deregistered(2.0, RunnerIncarnation("i-1"))
-    assert found.lives.current == RunnerIncarnation("i-1", 5000)
+    assert found.incarnations.current == RunnerIncarnation("i-1", 5000)
     assert found.state() is RunnerState.LEAVING
     found.heartbeat_received(2.5, born(5000, 10))
     assert found.state() is RunnerState.READY
@@ -216,10 +216,10 @@
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, FIRST)
     found.poll_answered(1.1, PollAnswer(1.05, [], []))
-    assert found.lives.classify(born(6000)) is HeartbeatClass.UNCONFIRMED
+    assert found.incarnations.classify(born(6000)) is HeartbeatClass.UNCONFIRMED
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
-    assert found.lives.current == RunnerIncarnation("i-1", 6000)
-    assert found.lives.classify(born(6000)) is HeartbeatClass.CURRENT
+    assert found.incarnations.current == RunnerIncarnation("i-1", 6000)
+    assert found.incarnations.classify(born(6000)) is HeartbeatClass.CURRENT
 
 
 @pytest.mark.parametrize("before", [[], [NEXT]], ids=["first_life", "next_life"])
@@ -230,7 +230,7 @@
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=6000))
     assert found.status == FIRST
     found.heartbeat_received(1.2, replace(FIRST, sequence=6))
-    assert found.lives.current == RunnerIncarnation("i-1", 6000)
+    assert found.incarnations.current == RunnerIncarnation("i-1", 6000)
     assert found.state() is RunnerState.READY
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=5000))
     assert found.state() is RunnerState.DOWN
--- a/testing/core/leased/test_progress.py
+++ b/testing/core/leased/test_progress.py
@@ -5,12 +5,12 @@
 from paddleshunt_core.leased.progress import (
     HUNG_SECONDS,
     HUNG_SHARE,
-    STUCK_LEAST,
+    MIN_STUCK_SECONDS,
     STUCK_SECONDS,
-    is_better_elsewhere,
+    is_faster_elsewhere,
+    is_stalled,
     is_stuck,
     note_progress,
-    stands_still,
 )
 from paddleshunt_core.leased.resources import NOTHING
 from paddleshunt_core.leased.runtable import Run
@@ -19,7 +19,7 @@
 
 def run_of(estimate: float) -> Run:
     run = Run(RunId(TaskId("job", 0, 0), 1), "e", "spec", NOTHING, estimate, 99.0)
-    run.moved = run.seen = 1.0
+    run.progressed_at = run.observed_at = 1.0
     return run
 
 
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("estimate", "patience"), [(0.05, STUCK_LEAST), (0.2, 0.2), (5.0, STUCK_SECONDS)]
+    ("estimate", "patience"), [(0.05, MIN_STUCK_SECONDS), (0.2, 0.2), (5.0, STUCK_SECONDS)]
 )
 def test_a_run_is_stuck_after_a_patience_that_its_length_sets(
     estimate: float, patience: float
@@ -78,7 +78,7 @@
     run = run_of(0.1)
     watch(run, (2.0, 0))
     assert not is_stuck(2.0, run)
-    assert not stands_still(2.0, run)
+    assert not is_stalled(2.0, run)
 
 
 def test_a_run_that_moved_is_not_stuck() -> None:
@@ -97,12 +97,12 @@
 ) -> None:
     run = run_of(estimate)
     watch(run, (1.0 + patience / 2, 0), (1.0 + patience, 0))
-    assert not stands_still(1.0 + patience, run)
-    assert stands_still(1.0 + patience + 0.01, run)
+    assert not is_stalled(1.0 + patience, run)
+    assert is_stalled(1.0 + patience + 0.01, run)
 
 
 @pytest.mark.parametrize(("percent", "elsewhere"), [(10, True), (80, False)])
 def test_a_slow_run_near_its_end_is_left_to_end(percent: int, elsewhere: bool) -> None:
     run = run_of(1.0)
     run.percent = percent
-    assert is_better_elsewhere(run, 0.3) is elsewhere
+    assert is_faster_elsewhere(run, 0.3) is elsewhere
--- a/testing/council/test_acknowledged.py
+++ b/testing/council/test_acknowledged.py
@@ -16,7 +16,7 @@
 
 import pytest
 from councilsystem import BEAT, System, call, play, until_true
-from paddleshunt_core.leased.incarnations import MOST_SKIPPED
+from paddleshunt_core.leased.incarnations import MAX_SEQUENCE_GAP
 
 HEARTBEAT = "/paddleshunt/Instances.Heartbeat/"
 
@@ -27,7 +27,7 @@
     return (await call(system.registration, "POST", HEARTBEAT + runner, body)).status
 
 
-@pytest.mark.parametrize("ahead", [MOST_SKIPPED, 1000, 2**40], ids=["near", "far", "farther"])
+@pytest.mark.parametrize("ahead", [MAX_SEQUENCE_GAP, 1000, 2**40], ids=["near", "far", "farther"])
 def test_one_that_leaves_gets_no_new_work_once_it_is_told_so(ahead: int) -> None:
     async def scene(system: System) -> None:
         await system.open()
@@ -36,7 +36,7 @@
         sequence = 6
         while await say(system, sequence, state="draining") != 200:
             sequence += 1
-        assert sequence <= 6 + MOST_SKIPPED
+        assert sequence <= 6 + MAX_SEQUENCE_GAP
         assert system.target.describe()["state"] == "LEAVING"
 
     play(scene)
