--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnotes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runlogs.py
@@ -13,7 +13,7 @@
 """Maximum number of runs listed in one log line."""
 
 
-def runner_lost_note(runner: str, how: str, silent_since: float, runs: Iterable[Run]) -> Log:
+def runner_lost_log(runner: str, how: str, silent_since: float, runs: Iterable[Run]) -> Log:
     """Return the log line for a lost runner, with its runs and the time each had been running.
 
     `how`: silent (no answer until its lease ended) or replaced (another incarnation answers). Times
@@ -24,7 +24,7 @@
     return note("runner_lost", runner=runner, how=how, runs=len(worked), worked_ms=named)
 
 
-def ended_note(run: Run, end: End, reason: str) -> Log:
+def run_ended_log(run: Run, end: End, reason: str) -> Log:
     """Return the log line for how a run ended, or why it did not start."""
     fields: dict[str, str | int | float] = {
         "run": run.id.number,
@@ -36,7 +36,7 @@
     return note("run_ended", str(run.id.task), **fields)
 
 
-def lapsed_note(run: Run, seconds: float) -> Log:
+def run_lapsed_log(run: Run, seconds: float) -> Log:
     """Return the log line for a run that is lost as its lease ended `seconds` ago."""
     fields: dict[str, str | int | float] = {
         "run": run.id.number,
@@ -47,7 +47,7 @@
     return note("run_lapsed", str(run.id.task), **fields)
 
 
-def late_note(status: RunnerStatus, known: RunnerIncarnation | None) -> Log:
+def late_heartbeat_log(status: RunnerStatus, known: RunnerIncarnation | None) -> Log:
     """Return the log line for an ignored, late heartbeat; `known` is the current incarnation."""
     fields: dict[str, str | int | float] = {
         "runner": str(status.runner),
@@ -58,7 +58,7 @@
     return note("heartbeat_late", **fields)
 
 
-def resized_note(status: RunnerStatus, before: Resources) -> Log:
+def runner_resized_log(status: RunnerStatus, before: Resources) -> Log:
     """Return the log line for a changed capacity of a running runner."""
     now = status.capacity
     fields: dict[str, str | int | float] = {
@@ -73,7 +73,7 @@
     return note("runner_resized", **fields)
 
 
-def rejected_note(run: Run, used: int) -> Log:
+def start_rejected_log(run: Run, used: int) -> Log:
     """Return the log line for a start that the runner rejected while `used` was thought in use."""
     fields: dict[str, str | int | float] = {"used": used, "run": run.id.number}
     return note("start_rejected", str(run.id.task), **fields)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -30,18 +30,18 @@
     note_progress,
 )
 from paddleshunt_core.leased.resources import NOTHING, Resources
+from paddleshunt_core.leased.runlogs import (
+    late_heartbeat_log,
+    run_ended_log,
+    run_lapsed_log,
+    runner_resized_log,
+    start_rejected_log,
+)
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation, format_incarnation
 from paddleshunt_core.leased.runnerlease import RunnerLease
 from paddleshunt_core.leased.runnerlosses import RunnerLosses
-from paddleshunt_core.leased.runnotes import (
-    ended_note,
-    lapsed_note,
-    late_note,
-    rejected_note,
-    resized_note,
-)
 from paddleshunt_core.leased.runtable import Phase, Run, RunTable
-from paddleshunt_core.leased.statuscheck import StatusCheck, contradicting_status_note
+from paddleshunt_core.leased.statuscheck import StatusCheck, contradicting_status_log
 from paddleshunt_core.leased.stopping import stop, stop_again
 from paddleshunt_core.leased.wire import (
     End,
@@ -83,7 +83,7 @@
 
 @final
 class RunnerControl:
-    """State of one runner and of the runs that it was ordered."""
+    """State of one runner and of the runs ordered from it."""
 
     def __init__(
         self, times: LeaseTimes, hall: str = "", cold_overrun: float = COLD_OVERRUN
@@ -159,13 +159,13 @@
         self.leaving = True
 
     def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
-        """Take in the runner's status, maybe of a new incarnation; ignore a late or odd one."""
+        """Adopt the runner's status, maybe a new incarnation's; ignore late or contradicting ones."""
         if self.incarnations.classify(status) is HeartbeatClass.LATE:
             self.incarnations.note_late(status)
-            return [late_note(status, self.incarnations.current)]
+            return [late_heartbeat_log(status, self.incarnations.current)]
         known = self.status
         if self._status_check.contradicts(known, status):
-            return [contradicting_status_note(status)]
+            return [contradicting_status_log(status)]
         effects: list[Effect] = []
         if not self.incarnations.is_current(status.runner):
             if self.incarnations.current is not None:
@@ -178,7 +178,7 @@
         self.incarnations.follow(status)
         effects += self._note_cold(now, status)
         if known is not None and known.capacity != status.capacity:
-            effects.append(resized_note(status, known.capacity))
+            effects.append(runner_resized_log(status, known.capacity))
         if status.leaving and not (known and known.leaving):
             effects.append(note("runner_leaving", runner=str(status.runner)))
         return effects
@@ -321,7 +321,7 @@
         if self._lease.has_surely_expired(now) and len(self.table):
             effects.append(self.losses.report_lost(now, self.status, self.table))
             for run in self.table:
-                effects.append(lapsed_note(run, self._lease.seconds_past_end(now)))
+                effects.append(run_lapsed_log(run, self._lease.seconds_past_end(now)))
                 effects += self._ended(run, End.LOST, "lease_lapsed")
             # A late order may reach a new incarnation, whose clock starts anew.
             effects.append(Supersede())
@@ -405,7 +405,7 @@
         if not self.clean or self._foreign or self.state() is not RunnerState.READY:
             return False
         if self._failed_polls:
-            # It may have crashed, and a run ordered now could not be told from the cause.
+            # It may have crashed, and a run ordered now could be mistaken for the cause.
             return False
         if not self._lease.is_enough(now, until):
             return False
@@ -433,7 +433,7 @@
     def _no_room(self, run: Run) -> list[Effect]:
         if run.phase is not Phase.STARTING:
             return self._ended(run, run.end_after_stop, "no_room")
-        log = rejected_note(run, self.table.used.processor)
+        log = start_rejected_log(run, self.table.used.processor)
         return [log, *self._ended(run, End.NO_ROOM, "rejected")]
 
     def cancel(self, now: float, run: Run, reason: str, since: float | None = None) -> list[Effect]:
@@ -571,4 +571,4 @@
     def _report_end(self, run: Run, end: End, reason: str) -> Log:
         """Report the end of a run to its entry."""
         self._ends.append((run, end))
-        return ended_note(run, end, reason)
+        return run_ended_log(run, end, reason)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -7,7 +7,7 @@
 
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.orders import RunnerStatus
-from paddleshunt_core.leased.runnotes import runner_lost_note
+from paddleshunt_core.leased.runlogs import runner_lost_log
 from paddleshunt_core.leased.runtable import Run, RunTable
 from paddleshunt_core.leased.wire import (
     LossId,
@@ -110,7 +110,7 @@
             # It announced its end meanwhile, so it is not lost.
             self._withdraw()
         runner = str(status.runner) if status else ""
-        return runner_lost_note(runner, how, self._since(now), _own(table))
+        return runner_lost_log(runner, how, self._since(now), _own(table))
 
     def _report(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
         self._reported = self._loss(now, status)
@@ -149,5 +149,5 @@
 
 
 def _own(table: RunTable) -> list[Run]:
-    """Return the runs that the current incarnation was ordered: none that are orphaned."""
+    """Return the runs ordered from the current incarnation, which excludes orphaned ones."""
     return [run for run in table if not run.is_orphaned]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/statuscheck.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/statuscheck.py
@@ -38,7 +38,7 @@
         return True
 
 
-def contradicting_status_note(status: RunnerStatus) -> Log:
+def contradicting_status_log(status: RunnerStatus) -> Log:
     """Return the log line for an ignored, contradicting status."""
     return note(
         "heartbeat_contradicts",
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -219,7 +219,7 @@
 
     @property
     def incarnation_changes(self) -> int:
-        """Number of times `incarnation` was replaced or ended; a learnt start time doesn't count."""
+        """Number of times `incarnation` was replaced or ended, not counting a learnt start time."""
         return self._control.incarnations.changes
 
     def incarnation_denied(self, incarnation: RunnerIncarnation) -> None:
