--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -264,7 +264,7 @@
         if self._changes == self._worker.incarnation_changes:
             if incarnation is not None and incarnation != self._life_meant:
                 self._life_meant = incarnation
-                self._runner.refine_identity(life)
+                self._runner.refine_identity(incarnation)
             return
         self._changes = self._worker.incarnation_changes
         self._life_meant = incarnation
--- a/testing/core/leased/test_lost_looks.py
+++ b/testing/core/leased/test_lost_looks.py
@@ -44,7 +44,7 @@
         # A look whose answer is lost is noted after what was ordered while it was awaited.
         return poll_failed(self, now + STEP / 2, other_life=other_life)
 
-    monkeypatch.setattr(Worker, "look_failed", noted_later)
+    monkeypatch.setattr(Worker, "poll_failed", noted_later)
     fleet = LooksLost(entries=2, targets=12)
     fleet.settle()
     fleet.share, fleet.rng = share, Random(seed)
--- a/testing/core/leased/test_runnerlosses.py
+++ b/testing/core/leased/test_runnerlosses.py
@@ -28,7 +28,7 @@
 @pytest.fixture
 def table() -> RunTable:
     table = RunTable()
-    for task, queue, began in ((TASKS[1], "long", 4.2), (TASKS[0], "short", 4.9)):
+    for task, queue, decided_at in ((TASKS[1], "long", 4.2), (TASKS[0], "short", 4.9)):
         run = Run(RunId(task, 1), "e0", "spec", Resources(1000, 64), 0.4, 9.0, queue)
         run.decided_at = decided_at
         table.add(run)
