--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -45,7 +45,7 @@
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.retries import Retries
 from paddleshunt_core.leased.room import RoomNow
-from paddleshunt_core.leased.session import Session, good_echo_age
+from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
 from paddleshunt_core.leased.standstill import THAW_SECONDS, StandStill
 from paddleshunt_core.leased.targets import TargetRecord
@@ -157,7 +157,7 @@
         Only sessions that are held are renewed all the time.
         """
         held = (t.session for t in self._targets.values() if t.connected and t.placed)
-        return good_echo_age(now, (session for session in held if session is not None))
+        return lower_quartile_echo_age(now, (session for session in held if session is not None))
 
     def describe(self, now: float) -> dict[str, object]:
         """Return a summary of the state for a dump."""
@@ -345,7 +345,7 @@
         """Take a frame of a target."""
         effects = self._notice_pause(now)
         target = self._targets.get(name)
-        if target is None or target.session is None or target.session.misses(frame):
+        if target is None or target.session is None or target.session.has_gap_before(frame):
             return effects
         bodies = target.session.accept(frame, round(now * 1000))
         target.spoke(now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/session.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/session.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.wire import Body, Frame
 
 
-def good_echo_age(now: float, sessions: Iterable["Session"]) -> float | None:
+def lower_quartile_echo_age(now: float, sessions: Iterable["Session"]) -> float | None:
     """Return how old the newest echoes are at a good quarter of the peers; None without any.
 
     A session that has just opened says nothing: where echoes come late, sessions end and open.
@@ -77,7 +77,7 @@
             return None
         return now - self.confirmed_ms / 1000
 
-    def misses(self, frame: Frame) -> bool:
+    def has_gap_before(self, frame: Frame) -> bool:
         """Whether a frame comes after a gap: what is missing comes over the next connection."""
         return frame.first > self.received + 1
 
@@ -87,7 +87,7 @@
         One after a gap is not taken at all: its echo would renew the lease for bodies that are
         missing, and what they withdraw would go on.
         """
-        if self.misses(frame):
+        if self.has_gap_before(frame):
             return []
         skip = self.received + 1 - frame.first
         if frame.stamp_ms > self._heard_stamp:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -20,7 +20,7 @@
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.runtable import Run
-from paddleshunt_core.leased.session import Session, good_echo_age
+from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
 from paddleshunt_core.leased.standstill import StandStill
 from paddleshunt_core.leased.wire import (
     Assign,
@@ -89,7 +89,7 @@
         Only sessions that are held are renewed all the time.
         """
         held = (link.session for name, link in self._links.items() if self._is_held(name))
-        return good_echo_age(now, (session for session in held if session is not None))
+        return lower_quartile_echo_age(now, (session for session in held if session is not None))
 
     def describe(self, now: float) -> dict[str, object]:
         """Return a summary of the state for a dump."""
@@ -177,7 +177,7 @@
         Nothing starts before all of the frame is known: it may withdraw what it assigns.
         """
         link = self._links.get(entry)
-        if link is None or link.session is None or link.session.misses(frame):
+        if link is None or link.session is None or link.session.has_gap_before(frame):
             return []
         bodies = link.session.accept(frame)
         if self._is_over(now, entry):
--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -285,7 +285,7 @@
         return fresh
 
     patch.setattr(Session, "accept", accept)
-    patch.setattr(Session, "misses", lambda self, frame: False)
+    patch.setattr(Session, "has_gap_before", lambda self, frame: False)
 
 
 def forget_to_withdraw(patch: pytest.MonkeyPatch) -> None:
--- a/testing/core/leased/test_session.py
+++ b/testing/core/leased/test_session.py
@@ -1,6 +1,6 @@
 """Sessions: in order, once, over several connections, and a lease."""
 
-from paddleshunt_core.leased.session import Session, good_echo_age
+from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
 from paddleshunt_core.leased.wire import Body, CatalogVersion, Frame
 
 
@@ -44,8 +44,8 @@
     echoed, opened = Session(1, 1000), Session(2, 2900)
     echoed.accept(Frame(1, 0, 5, 1500, []))
     assert opened.echo_age(3.0) is None
-    assert good_echo_age(3.0, [opened, echoed, opened]) == 1.5
-    assert good_echo_age(3.0, [opened]) is None
+    assert lower_quartile_echo_age(3.0, [opened, echoed, opened]) == 1.5
+    assert lower_quartile_echo_age(3.0, [opened]) is None
 
 
 def test_an_echo_of_nothing_new_renews_nothing() -> None:
