--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -42,7 +42,7 @@
     """Since when the session is to end, as other entries are preferred; None if it is not."""
     pending: list[tuple[Run, float]] = field(default_factory=list)
     """Runs to start once the lease is confirmed, and until when each may be."""
-    heard: float = 0.0
+    last_received: float = 0.0
     """When the entry last said something."""
     phase: float = 0.0
     """Part of the time between two idle heartbeats by which the first comes sooner.
@@ -66,27 +66,27 @@
         self.session = session
         self._newest = session.number
         self._last_end = 0
-        self.resumed(now)
+        self.connected(now)
 
-    def goes_on(self, life: str, number: int) -> bool:
+    def is_current(self, life: str, number: int) -> bool:
         """Whether this is the session that is open."""
         return self.session is not None and self.life == life and self.session.number == number
 
     def has_ended(self, life: str, number: int) -> bool:
         """Whether this session is over: its entry may go on with it if it was greeted before."""
         known = self.life == life and number <= self._newest
-        return known and not self.goes_on(life, number)
+        return known and not self.is_current(life, number)
 
-    def resumed(self, now: float) -> None:
+    def connected(self, now: float) -> None:
         """Note that a connection stands anew: what left over an earlier one may be lost."""
-        self.heard = now
+        self.last_received = now
         self.retired = None
         self.report_due = True
         self._beat = float("-inf")
 
     def probe(self) -> None:
         """Let the next heartbeat leave as soon as one may, unless one awaits its answer."""
-        if self.heard >= self._beat:
+        if self.last_received >= self._beat:
             self._beat = float("-inf")
 
     def drop(self) -> None:
@@ -175,7 +175,7 @@
             self.reported = now
             self.plenty = plenty
 
-    def report_pause(
+    def min_report_interval(
         self, times: LeaseTimes, report: RunnerReport, *, plenty: bool, held: bool
     ) -> float:
         """Return the shortest time from the last report to this one."""
@@ -192,12 +192,12 @@
     def is_silent(self, now: float, times: LeaseTimes, *, held: bool) -> bool:
         """Whether the connection is to be made anew: a heartbeat got no answer for too long."""
         if held:
-            return now > self.heard + times.redial
-        answered = self.heard > self._beat - times.idle_reply
+            return now > self.last_received + times.redial
+        answered = self.last_received > self._beat - times.idle_reply
         return not answered and now > self._beat + times.redial
 
-    def is_over(self, now: float, times: LeaseTimes, *, has_runs: bool) -> bool:
+    def has_expired(self, now: float, times: LeaseTimes, *, has_runs: bool) -> bool:
         """Whether the session can't go on: what runs in it has lost its lease, or it is silent."""
         if has_runs:
             return not self.is_confirmed(now, times)
-        return now > self.heard + times.idle_session
+        return now > self.last_received + times.idle_session
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -50,7 +50,7 @@
             report = self._report(now, link, free if holder in (None, name) else NOTHING)
             if link.report_due or _says_anew(now, report, link):
                 held = link.is_held(has_runs=self._control.table.has_entry(name))
-                pause = link.report_pause(self._times, report, plenty=plenty, held=held)
+                pause = link.min_report_interval(self._times, report, plenty=plenty, held=held)
                 if sheds:
                     pause = max(pause, self._times.heartbeat)
                 at_once = holder == name or (holder is not None and _takes_back(report, link))
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -113,7 +113,7 @@
                     "held": self._is_held(name),
                     "confirmed": link.is_confirmed(now, self._times),
                     "pending": len(link.pending),
-                    "silent_s": round(now - link.heard, 2),
+                    "silent_s": round(now - link.last_received, 2),
                 }
                 for name, link in self._links.items()
                 if link.session
@@ -149,9 +149,9 @@
         if link.has_ended(hello.life, hello.session):
             return [note("session_over", entry=hello.name, session=hello.session)]
         session = link.session
-        if session is not None and link.goes_on(hello.life, hello.session):
+        if session is not None and link.is_current(hello.life, hello.session):
             session.resume(hello.received)
-            link.resumed(now)
+            link.connected(now)
             return [note("session_resumed", entry=hello.name)]
         effects = self._end_session(now, hello.name, "replaced") if session else []
         session = Session(hello.session, int(said * 1000))
@@ -182,7 +182,7 @@
         bodies = link.session.accept(frame)
         if self._is_over(now, entry):
             return self._end_session(now, entry, "silent")
-        link.heard = now
+        link.last_received = now
         effects: list[Effect] = []
         for body in bodies:
             effects += self._take(now, entry, body)
@@ -203,7 +203,7 @@
     def silence(self, now: float, entry: str) -> float:
         """Return the seconds since an entry was heard."""
         link = self._links.get(entry)
-        return now - link.heard if link else 0.0
+        return now - link.last_received if link else 0.0
 
     def next_frame(self, now: float, entry: str, *, beat: bool) -> Frame | None:
         """Return the frame that is due to an entry, if any; `beat`: heartbeats may be sent now."""
@@ -334,7 +334,7 @@
 
     def _is_over(self, now: float, entry: str) -> bool:
         has_runs = self._control.table.has_entry(entry)
-        return self._links[entry].is_over(now, self._times, has_runs=has_runs)
+        return self._links[entry].has_expired(now, self._times, has_runs=has_runs)
 
     def _any_needs_lease(self, now: float) -> bool:
         return not self.idle and any(
--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -265,7 +265,7 @@
     patch.setattr(LeaseTimes, "pending", 3600.0)
 
     def lease_left(self: EntryLink, now: float, times: LeaseTimes) -> float:
-        return self.heard + times.session - now
+        return self.last_received + times.session - now
 
     patch.setattr(EntryLink, "lease_left", lease_left)
 
