--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -375,7 +375,7 @@
     return note(
         "queue_evidence_taken_back",
         queue=queue,
-        answers=str(returned.life),
+        answers=str(returned.incarnation),
         runners=_named(doubtful),
         second_losses_left=0 if left is None else left.second_losses,
     )
@@ -383,4 +383,4 @@
 
 def _named(losses: Iterable[LossId]) -> str:
     """Return the lives of some losses, as one line names them."""
-    return ",".join(sorted({str(loss.life) for loss in losses})[:MOST_NAMED])
+    return ",".join(sorted({str(loss.incarnation) for loss in losses})[:MOST_NAMED])
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -86,11 +86,11 @@
         One that is known is news once its life is known to have ended.
         """
         self.expire(now)
-        life, silent_ms = lost.loss.life, lost.loss.silent_ms
+        incarnation, silent_ms = lost.loss.incarnation, lost.loss.silent_ms
         if self._has_answered(lost.loss):
             return False
         at = now - lost.ago_ms / 1000
-        known = self._losses.get(life)
+        known = self._losses.get(incarnation)
         if known is not None:
             if silent_ms < known.lost.loss.silent_ms:
                 return False
@@ -98,10 +98,10 @@
                 if set(lost.ended) <= set(known.lost.ended):
                     return False
                 at = known.at
-            self._forget(life)
-        self._losses[life] = _Known(at, lost, at)
+            self._forget(incarnation)
+        self._losses[incarnation] = _Known(at, lost, at)
         for task in lost.tasks:
-            self._by_task.setdefault(task, []).append(life)
+            self._by_task.setdefault(task, []).append(incarnation)
         if len(self._losses) > MOST_REMEMBERED:
             self._forget(next(iter(self._losses)))
         return True
@@ -114,13 +114,13 @@
         self.expire(now)
         if self._has_answered(loss):
             return False
-        self._answered.pop(loss.life, None)
-        self._answered[loss.life] = _Answered(now, loss.silent_ms)
+        self._answered.pop(loss.incarnation, None)
+        self._answered[loss.incarnation] = _Answered(now, loss.silent_ms)
         if len(self._answered) > MOST_RETURNED:
             del self._answered[next(iter(self._answered))]
-        known = self._losses.get(loss.life)
+        known = self._losses.get(loss.incarnation)
         if known is not None and known.lost.loss.silent_ms <= loss.silent_ms:
-            self._forget(loss.life)
+            self._forget(loss.incarnation)
         return True
 
     def all(self, now: float) -> list[LossNews]:
@@ -130,7 +130,8 @@
         """
         self.expire(now)
         answered = [
-            RunnerReturned(LossId.of(life, last.silent_ms)) for life, last in self._answered.items()
+            RunnerReturned(LossId.of(incarnation, last.silent_ms))
+            for incarnation, last in self._answered.items()
         ]
         known = self._losses.values()
         return [
@@ -140,18 +141,18 @@
 
     def expire(self, now: float) -> None:
         """Forget what is too old to say anything."""
-        for life, known in list(self._losses.items()):
+        for incarnation, known in list(self._losses.items()):
             if now >= known.kept + KEEP_SECONDS:
-                self._forget(life)
-        for life, answered in list(self._answered.items()):
+                self._forget(incarnation)
+        for incarnation, answered in list(self._answered.items()):
             if now < answered.at + KEEP_SECONDS:
                 break
-            del self._answered[life]
+            del self._answered[incarnation]
 
     def keep(self, now: float, task: TaskId) -> None:
         """Remember for longer which lives have ended under a task, as it is asked for yet."""
-        for life in self.ended(task):
-            self._losses[life] = replace_field(self._losses[life], kept=now)
+        for incarnation in self.ended(task):
+            self._losses[incarnation] = replace_field(self._losses[incarnation], kept=now)
 
     def runners(self, task: TaskId) -> list[RunnerLife]:
         """Return the lives of runners that were lost under a task; each may yet answer again."""
@@ -160,27 +161,29 @@
     def ended(self, task: TaskId) -> list[RunnerLife]:
         """Return the lives that are known to have ended since a task was seen at work on them."""
         lives = self._by_task.get(task, ())
-        return [life for life in lives if task in self._losses[life].lost.ended]
+        return [
+            incarnation for incarnation in lives if task in self._losses[incarnation].lost.ended
+        ]
 
-    def was_shared(self, life: RunnerLife, job: str) -> bool:
+    def was_shared(self, incarnation: RunnerLife, job: str) -> bool:
         """Whether a life was lost together with others that had no task of a job."""
-        at = self._losses[life].at
+        at = self._losses[incarnation].at
         others = [
             each
             for other, each in self._losses.items()
-            if other != life and abs(each.at - at) <= TOGETHER_SECONDS
+            if other != incarnation and abs(each.at - at) <= TOGETHER_SECONDS
             if not any(task.job == job for task in each.lost.tasks)
         ]
         return len(others) >= SHARED_LOSSES
 
     def _has_answered(self, loss: LossId) -> bool:
         """Whether the life is known to have answered since that loss."""
-        answered = self._answered.get(loss.life)
+        answered = self._answered.get(loss.incarnation)
         return answered is not None and loss.silent_ms <= answered.silent_ms
 
-    def _forget(self, life: RunnerLife) -> None:
-        for task in self._losses.pop(life).lost.tasks:
+    def _forget(self, incarnation: RunnerLife) -> None:
+        for task in self._losses.pop(incarnation).lost.tasks:
             known = self._by_task[task]
-            known.remove(life)
+            known.remove(incarnation)
             if not known:
                 del self._by_task[task]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -59,7 +59,7 @@
         """
         if isinstance(news, RunnerSilent) or not self._losses.follow(now, news):
             return []
-        runner = str(news.loss.life)
+        runner = str(news.loss.incarnation)
         if isinstance(news, RunnerReturned):
             return [note("runner_return_learned", runner=runner, source=source)]
         tasks, ended = len(news.tasks), len(news.ended)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
@@ -144,7 +144,7 @@
 
     def has_returned(self, loss: LossId) -> bool:
         """Whether the life has answered since it fell silent so."""
-        returned = self._returned.get(loss.life)
+        returned = self._returned.get(loss.incarnation)
         return returned is not None and loss.silent_ms <= returned[0]
 
     def doubtful(self, now: float, losses: Iterable[LossId]) -> set[LossId]:
@@ -217,13 +217,15 @@
         only silences that have lasted longer than returns take.
         """
         back = {life for life, (_, at) in self._returned.items() if at >= now - WINDOW_SECONDS}
-        out = {loss.life for loss in self._seen} - back
+        out = {loss.incarnation for loss in self._seen} - back
         mostly_back = len(back) >= len(out)
         outlasted = now - PATIENCE * self._again
         return [
             each
             for each in self._seen.values()
-            if each.ended or each.at <= outlasted or not (mostly_back or each.loss.life in back)
+            if each.ended
+            or each.at <= outlasted
+            or not (mostly_back or each.loss.incarnation in back)
         ]
 
     def _lost(self, now: float, news: RunnerLost | RunnerSilent, at: float, *, ended: bool) -> bool:
@@ -233,12 +235,12 @@
             return ended and self._end(loss)
         if self.has_returned(loss) or at <= now - WINDOW_SECONDS:
             return False
-        known = [other.silent_ms for other in self._seen if other.life == loss.life]
+        known = [other.silent_ms for other in self._seen if other.incarnation == loss.incarnation]
         if known and loss.silent_ms < max(known):
             return False
         for silent_ms in known:
             # The same life is silent anew: it had answered meanwhile.
-            self._undo(now, LossId.of(loss.life, silent_ms))
+            self._undo(now, LossId.of(loss.incarnation, silent_ms))
         work: Work = {}
         for task, queue, ms in zip(news.tasks, news.queues, news.worked_ms, strict=False):
             work.setdefault(queue, {})[task] = max(SHORTEST_WORK, ms / 1000)
@@ -258,8 +260,8 @@
         """Take back what a life's silence shows, and that of any earlier one."""
         if self.has_returned(loss):
             return False
-        self._returned.pop(loss.life, None)
-        self._returned[loss.life] = (loss.silent_ms, now)
+        self._returned.pop(loss.incarnation, None)
+        self._returned[loss.incarnation] = (loss.silent_ms, now)
         if len(self._returned) > MOST_RETURNED:
             del self._returned[next(iter(self._returned))]
         for known in list(self._seen):
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -67,9 +67,9 @@
 
     def take_report(self, now: float, report: RunnerReport) -> None:
         """Adopt a report; another life of the runner has yet to show how it differs."""
-        if self.runner != report.life:
+        if self.runner != report.incarnation:
             self.deviation = 1.0
-            self.runner = report.life
+            self.runner = report.incarnation
         # One that says it is warm stays known to have been cold until now, at the latest.
         cold_until = now + report.cold_ms / 1000
         self.cold_until = cold_until if report.cold_ms else min(self.cold_until, now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -145,7 +145,7 @@
     born: int = 0
 
     @property
-    def life(self) -> RunnerLife:
+    def incarnation(self) -> RunnerLife:
         """The life of the runner that it is about."""
         return RunnerLife(self.runner, self.born)
 
@@ -221,7 +221,7 @@
     born: int = 0
 
     @property
-    def life(self) -> RunnerLife:
+    def incarnation(self) -> RunnerLife:
         """The life of the runner that was lost."""
         return RunnerLife(self.runner, self.born)
 
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -78,7 +78,7 @@
 def heard(draw: st.DrawFn) -> tuple[list[Life], list[LossNews]]:
     """Give lives, and those of the words on them that come, in any order, some of them twice."""
     truth = draw(lives())
-    said = [word for life in truth for word in life.words()]
+    said = [word for incarnation in truth for word in incarnation.words()]
     return truth, draw(st.lists(st.sampled_from(said), max_size=2 * len(said)))
 
 
@@ -98,8 +98,8 @@
     state: State = {task: (set(), set()) for task in TASKS}
     by_life: dict[RunnerLife, list[LossNews]] = {}
     for word in words:
-        by_life.setdefault(word.loss.life, []).append(word)
-    for life, about in by_life.items():
+        by_life.setdefault(word.loss.incarnation, []).append(word)
+    for incarnation, about in by_life.items():
         answered = [word.loss.silent_ms for word in about if isinstance(word, RunnerReturned)]
         last = max(word.loss.silent_ms for word in about)
         if last in answered:
@@ -107,9 +107,9 @@
         for word in about:
             if isinstance(word, RunnerLost) and word.loss.silent_ms == last:
                 for task in word.tasks:
-                    state[task][0].add(life)
+                    state[task][0].add(incarnation)
                 for task in word.ended:
-                    state[task][1].add(life)
+                    state[task][1].add(incarnation)
     return state
 
 
@@ -148,14 +148,14 @@
 ) -> None:
     truth, words = case
     book = told(words)
-    for life in truth:
-        about = [word for word in words if word.loss.life == life.name]
-        moment, tasks = life.silences[-1]
-        if RunnerReturned(LossId.of(life.name, moment)) in about:
+    for incarnation in truth:
+        about = [word for word in words if word.loss.incarnation == incarnation.name]
+        moment, tasks = incarnation.silences[-1]
+        if RunnerReturned(LossId.of(incarnation.name, moment)) in about:
             tasks = []
         elif not any(word.loss.silent_ms == moment for word in about):
             continue
-        counted = [task for task in TASKS if life.name in book.runners(task)]
+        counted = [task for task in TASKS if incarnation.name in book.runners(task)]
         assert set(counted) <= set(tasks)
 
 
@@ -169,7 +169,11 @@
     for word in words:
         retries.learn(1.0, word, "t")
     known = [
-        [life for life in truth if task in (life.ended or ()) and says_ended(words, life)]
+        [
+            incarnation
+            for incarnation in truth
+            if task in (incarnation.ended or ()) and says_ended(words, incarnation)
+        ]
         for task in TASKS
     ]
     outcome = retries.outcome(1.0, new_record())
@@ -181,8 +185,11 @@
         assert outcome == GivenUp(SILENT_RUNNERS)
 
 
-def says_ended(words: list[LossNews], life: Life) -> bool:
-    return any(isinstance(w, RunnerLost) and w.ended and w.loss.life == life.name for w in words)
+def says_ended(words: list[LossNews], incarnation: Life) -> bool:
+    return any(
+        isinstance(w, RunnerLost) and w.ended and w.loss.incarnation == incarnation.name
+        for w in words
+    )
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
