--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
@@ -14,7 +14,7 @@
 SICK_SECONDS = 2.0
 """Seconds for which a sick runner is given nothing, before it may prove itself with one task."""
 
-SLOW = 0.35
+SICK_SPEED = 0.35
 """Speed, against the estimates, below which a runner counts as sick."""
 
 SPEED_WINDOW = 0.8
@@ -42,23 +42,25 @@
             return Health.SICK
         return Health.GOOD if self._proved else Health.PROBATION
 
-    def note_cold(self, now: float, cold: float) -> None:
+    def set_cold_remaining(self, now: float, cold: float) -> None:
         """Note that the runner stays slow for `cold` seconds yet after its start; 0: it is warm."""
         self._cold_until = now + cold if cold else min(self._cold_until, now)
 
-    def patience(self, then: float) -> float:
+    def overrun_factor(self, then: float) -> float:
         """Return how many times as long as of a warm runner work may take that began `then`."""
         return self._cold_overrun if then < self._cold_until else 1.0
 
     def is_slow(self, now: float) -> bool:
         """Whether the runner has been slow lately, beyond what a cold one is."""
-        return self.speed(now) < SLOW / self.patience(now - SPEED_WINDOW)
+        return self.speed(now) < SICK_SPEED / self.overrun_factor(now - SPEED_WINDOW)
 
     def done(self, now: float, speed: float, began: float | None = None) -> None:
         """Note a run that ended well, at `speed` against its estimate; it `began` then."""
         self._failed.append(False)
-        if not self._proved and speed < SLOW / self.patience(now if began is None else began):
-            self.suspect(now)
+        if not self._proved and speed < SICK_SPEED / self.overrun_factor(
+            now if began is None else began
+        ):
+            self.mark_sick(now)
             return
         self._proved = True
 
@@ -66,9 +68,9 @@
         """Note a run that failed; it may have been the task's own fault."""
         self._failed.append(True)
         if not self._proved or sum(self._failed) >= FAILURES:
-            self.suspect(now)
+            self.mark_sick(now)
 
-    def suspect(self, now: float) -> None:
+    def mark_sick(self, now: float) -> None:
         """Trust the runner with nothing for a while, then with one task."""
         self._sick_until = now + SICK_SECONDS
         self._proved = False
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -192,7 +192,7 @@
         """Follow the runner's word on how long it stays slow; it runs down until the next."""
         was_cold = self.cold(now) > 0
         self._cold_until = now + account.cold
-        self.health.note_cold(now, account.cold)
+        self.health.set_cold_remaining(now, account.cold)
         if not account.cold or was_cold:
             return []
         left = round(account.cold * 1000)
@@ -344,7 +344,7 @@
             case StartAnswer.OTHER_LIFE if not run.outlived:
                 return self._runner_replaced(now, None)
             case StartAnswer.UNHEALTHY:
-                self.health.suspect(now)
+                self.health.mark_sick(now)
             case _:
                 pass
         end = End.STALE if answer is StartAnswer.STALE else End.NOT_STARTED
@@ -456,7 +456,7 @@
         if not self.health.is_slow(now):
             return []
         speed = self.health.speed(now)
-        self.health.suspect(now)
+        self.health.mark_sick(now)
         return [
             effect
             for run in self.table
@@ -468,10 +468,10 @@
         """Stop all runs, to run elsewhere, if none of them made progress any more when `shown`."""
         runs = [run for run in self.table if run.phase is Phase.RUNNING]
         if len(runs) < HUNG_RUNS or not all(
-            stands_still(shown, run, self.health.patience(run.moved)) for run in runs
+            stands_still(shown, run, self.health.overrun_factor(run.moved)) for run in runs
         ):
             return []
-        self.health.suspect(now)
+        self.health.mark_sick(now)
         return [
             effect for run in runs for effect in stop(now, run, End.STUCK, "runner_stands_still")
         ]
@@ -510,8 +510,10 @@
         run.doubted = None
         run.settled = now if run.phase is Phase.RUNNING else run.settled
         note_progress(now, shown, run, percent, self.health)
-        if run.phase is Phase.RUNNING and is_stuck(shown, run, self.health.patience(run.moved)):
-            self.health.suspect(now)
+        if run.phase is Phase.RUNNING and is_stuck(
+            shown, run, self.health.overrun_factor(run.moved)
+        ):
+            self.health.mark_sick(now)
             return [*stop(now, run, End.STUCK, "no_progress")]
         return []
 
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
-from paddleshunt_core.leased.health import SICK_SECONDS, SLOW, RunnerHealth
+from paddleshunt_core.leased.health import SICK_SECONDS, SICK_SPEED, RunnerHealth
 from paddleshunt_core.leased.jobs import JobRecord, JobRequest, new_job
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount, RunningRun, StopRun
 from paddleshunt_core.leased.outcomes import Completed
@@ -184,24 +184,24 @@
 )
 def test_slow_ends_of_a_cold_runner_are_no_sickness(cold: float, level: Health) -> None:
     health = RunnerHealth(4.0)
-    health.suspect(0.0)
+    health.mark_sick(0.0)
     later = SICK_SECONDS + 0.1
-    health.note_cold(later, cold)
-    health.done(later + 1.0, SLOW * 0.9, later)
+    health.set_cold_remaining(later, cold)
+    health.done(later + 1.0, SICK_SPEED * 0.9, later)
     assert health.level(later + 1.0) is level
 
 
 @pytest.mark.parametrize(("cold", "slow"), [(2.0, False), (0.0, True)], ids=["cold", "warm"])
 def test_slow_progress_of_a_cold_runner_is_no_sickness(cold: float, *, slow: bool) -> None:
     health = RunnerHealth(4.0)
-    health.note_cold(1.0, cold)
+    health.set_cold_remaining(1.0, cold)
     health.progressed(1.5, 0.1, 0.5)
     assert health.is_slow(1.6) is slow
 
 
 def test_a_runner_that_is_slow_long_after_it_got_warm_is_sick() -> None:
     health = RunnerHealth(4.0)
-    health.note_cold(1.0, 2.0)
+    health.set_cold_remaining(1.0, 2.0)
     health.progressed(4.0, 0.1, 0.5)
     assert health.is_slow(4.1)
 
--- a/testing/core/leased/test_late_reads.py
+++ b/testing/core/leased/test_late_reads.py
@@ -82,7 +82,7 @@
         0.9, RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
     )
     control.looked(0.95, LookAnswer(0.92, [], []))
-    control.health.suspect(1.0)
+    control.health.mark_sick(1.0)
     began = 1.1 + SICK_SECONDS
     control.tick(began)
     run = Run(RUNS[0], "e", "spec", Resources(1000, 10), ESTIMATE_MS / 1000, began + 9.0)
