--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -42,12 +42,12 @@
     JobOutcome,
     Refused,
 )
+from paddleshunt_core.leased.pausedetector import RESUME_GRACE_SECONDS, PauseDetector
 from paddleshunt_core.leased.placement import Placement
 from paddleshunt_core.leased.retries import Retries
 from paddleshunt_core.leased.room import RoomNow
 from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
-from paddleshunt_core.leased.standstill import THAW_SECONDS, StandStill
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wants import Wants
 from paddleshunt_core.leased.wire import (
@@ -126,7 +126,7 @@
         self._sessions = 0
         self._met: float | None = None
         """When the first session with a target began."""
-        self._pauses = StandStill(times.session)
+        self._pauses = PauseDetector(times.session)
         self._ends: float | None = None
         """When this process ends, if it is leaving."""
         self.turned_away: Refused | None = None
@@ -176,8 +176,8 @@
     def submit(self, now: float, caller: int, request: JobRequest, queue: Queue) -> list[Effect]:
         """Take a job, or refuse it."""
         effects = self._notice_pause(now)
-        if self._pauses.just_ended(now):
-            stood_still = Refused("stood_still", THAW_SECONDS)
+        if self._pauses.recently_resumed(now):
+            stood_still = Refused("stood_still", RESUME_GRACE_SECONDS)
             return [*effects, self._refuse(caller, request, stood_still)]
         held = self._jobs.of_key(request.key)
         if held is not None:
@@ -485,7 +485,7 @@
 
     def _notice_pause(self, now: float) -> list[Effect]:
         """Give up all jobs if this process stood still: their callers may have gone elsewhere."""
-        seconds = self._pauses.moved(now)
+        seconds = self._pauses.observe(now)
         if not seconds:
             return []
         fields: dict[str, str | int | float] = {
@@ -494,7 +494,7 @@
         }
         effects: list[Effect] = [note("stood_still", **fields)]
         for job in self._jobs.all():
-            effects.append(self._give_up(now, job, "stood_still", THAW_SECONDS))
+            effects.append(self._give_up(now, job, "stood_still", RESUME_GRACE_SECONDS))
         return effects
 
     # Inside: targets.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/standstill.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/pausedetector.py
@@ -2,12 +2,12 @@
 
 from typing import final
 
-THAW_SECONDS = 0.1
+RESUME_GRACE_SECONDS = 0.1
 """Seconds after a stand-still in which new requests are refused: they may be old."""
 
 
 @final
-class StandStill:
+class PauseDetector:
     """Watches the time between calls; `longest` seconds are no stand-still yet."""
 
     def __init__(self, longest: float) -> None:
@@ -15,7 +15,7 @@
         self._moved: float | None = None
         self._thawed = float("-inf")
 
-    def moved(self, now: float) -> float:
+    def observe(self, now: float) -> float:
         """Note that the process runs; return how long it stood still before, 0 if it did not."""
         before = self._moved
         self._moved = now
@@ -24,6 +24,6 @@
         self._thawed = now
         return now - before
 
-    def just_ended(self, now: float) -> bool:
+    def recently_resumed(self, now: float) -> bool:
         """Whether a stand-still ended so lately that what is read now may be old."""
-        return now < self._thawed + THAW_SECONDS
+        return now < self._thawed + RESUME_GRACE_SECONDS
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -16,12 +16,12 @@
 from paddleshunt_core.leased.losses import LossBook
 from paddleshunt_core.leased.offers import Offers
 from paddleshunt_core.leased.orders import Look, LookAnswer, RunnerAccount, StartAnswer
+from paddleshunt_core.leased.pausedetector import PauseDetector
 from paddleshunt_core.leased.reporting import Reporter
 from paddleshunt_core.leased.runnercontrol import Effect, RunnerControl
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.runtable import Run
 from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
-from paddleshunt_core.leased.standstill import StandStill
 from paddleshunt_core.leased.wire import (
     Assign,
     Body,
@@ -62,7 +62,7 @@
         self._reporter = Reporter(times, self._control, self._offers)
         self._losses = LossBook()
         """What this target saw of its own runner, for entries that it meets later."""
-        self._pauses = StandStill(STILL_HEARTBEATS * times.heartbeat)
+        self._pauses = PauseDetector(STILL_HEARTBEATS * times.heartbeat)
         self.sheds = False
         """Whether this host's link is pressed, so that reports that can wait go with heartbeats."""
 
@@ -321,7 +321,7 @@
 
     def _notice_pause(self, now: float) -> list[Effect]:
         """Tell of a stand-still: what was decided before it may be out of date."""
-        seconds = self._pauses.moved(now)
+        seconds = self._pauses.observe(now)
         return [note("stood_still", seconds=round(seconds, 2), runs=self.runs)] if seconds else []
 
     def _has_work(self, entry: str) -> bool:
