--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/accounts.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/accounts.py
@@ -8,7 +8,7 @@
 
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.orders import RunnerAccount
-from paddleshunt_core.leased.refusals import shown
+from paddleshunt_core.leased.refusals import escape_for_log
 
 
 @final
@@ -34,9 +34,9 @@
     return note(
         "heartbeat_contradicts",
         runner=str(account.runner),
-        service=shown(account.service),
-        hall=shown(account.hall),
-        labels=shown(",".join(account.labels)),
+        service=escape_for_log(account.service),
+        hall=escape_for_log(account.hall),
+        labels=escape_for_log(",".join(account.labels)),
         sequence=account.sequence,
     )
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/refusals.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/refusals.py
@@ -1,7 +1,7 @@
-"""Refusals of what others say: typed, counted by kind, and told at a bounded rate.
+"""Invalid input from outside the process: typed, counted by kind and logged at a bounded rate.
 
-A word from outside either becomes a checked statement or a `Refusal`; it is never an exception in
-the process that reads it, and never changes what an earlier good word said.
+Input from outside either yields a validated value or a `Refusal`. It never raises in the process
+that reads it, and never replaces the values of earlier valid input.
 """
 
 from collections import OrderedDict
@@ -14,26 +14,24 @@
 
 from paddleshunt_core.events import Log, note
 
-LINE_SECONDS = 10.0
-"""Seconds between two lines on one sender and kind: a word a second, refused for hours, must leave
-an operator room to see the others."""
+LINE_INTERVAL_SECONDS = 10.0
+"""Seconds between two log lines for one sender and kind, so that one sender can't flood the log."""
 
-MOST_LINES = 20
-"""Lines on one kind of word in `LINE_SECONDS`, whoever sends it: senders' names come from outside
-too, and may be another each time."""
+MAX_LINES_PER_KIND = 20
+"""Log lines for one kind in `LINE_INTERVAL_SECONDS`, across senders, whose names may be made up."""
 
-MOST_SENDERS = 256
-"""Pairs of sender and kind that are told apart at a time; a host hears of some dozens."""
+MAX_SENDERS = 256
+"""Pairs of sender and kind that are tracked at a time."""
 
-MOST_TEXT = 160
-"""Signs of a sender's name or a problem in a line; both may come from outside."""
+MAX_TEXT_LENGTH = 160
+"""Characters of a sender's name or of a problem in a log line."""
 
-UNREADABLE = (msgspec.MsgspecError, ValueError, OverflowError, RecursionError)
-"""What decoding bytes from outside may raise: also text that is no UTF-8, and deep nesting."""
+DECODE_ERRORS = (msgspec.MsgspecError, ValueError, OverflowError, RecursionError)
+"""Exceptions that decoding untrusted bytes may raise, also for invalid UTF-8 and deep nesting."""
 
 
-class Word(Enum):
-    """What was said that is refused."""
+class InputKind(Enum):
+    """A kind of input that may be refused; the values are log and metric labels."""
 
     HEARTBEAT = "heartbeat"
     RUNNER_END = "runner_end"
@@ -51,61 +49,61 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A word that is not followed: what it was, whose it seems to be, and what is wrong with it."""
+    """Input that was refused: its kind, its apparent sender and what is wrong with it."""
 
-    word: Word
+    kind: InputKind
     sender: str
     problem: str
 
 
-Refuse = Callable[[Refusal], None]
-"""Takes a refusal."""
+RefusalHandler = Callable[[Refusal], None]
+"""Callback that receives a refusal."""
 
 
-def unheard(refusal: Refusal) -> None:
-    """Drop a refusal: for tools that read words and have no log."""
+def ignore_refusal(refusal: Refusal) -> None:
+    """Drop a refusal; for tools that have no log."""
 
 
 @final
 class Refusals:
-    """Which refusals of one process are told, and when."""
+    """Rate limiter for the log lines about the refusals of one process."""
 
     def __init__(self) -> None:
-        self._told: OrderedDict[tuple[Word, str], tuple[float, int]] = OrderedDict()
-        """When a line on a pair was written last, and how many were left out since."""
-        self._lines: dict[Word, tuple[float, int, int]] = {}
-        """When the time for `MOST_LINES` of a kind began, how many were written since, and how many
-        of new senders were left out since the last line."""
-
-    def take(self, now: float, refusal: Refusal) -> list[Log]:
-        """Return the line on a refusal, unless one on its sender and kind was told lately."""
-        key = (refusal.word, shown(refusal.sender))
-        told, left_out = self._told.get(key, (float("-inf"), 0))
-        if now < told + LINE_SECONDS:
-            self._told[key] = (told, left_out + 1)
+        self._pairs: OrderedDict[tuple[InputKind, str], tuple[float, int]] = OrderedDict()
+        """By kind and sender: the time of the last line, and the lines suppressed since."""
+        self._lines: dict[InputKind, tuple[float, int, int]] = {}
+        """By kind: the start of the current interval, the lines written in it, and the lines of new
+        senders suppressed since the last line."""
+
+    def record(self, now: float, refusal: Refusal) -> list[Log]:
+        """Return the log line for a refusal, or none while its sender or kind is rate-limited."""
+        key = (refusal.kind, escape_for_log(refusal.sender))
+        logged, left_out = self._pairs.get(key, (float("-inf"), 0))
+        if now < logged + LINE_INTERVAL_SECONDS:
+            self._pairs[key] = (logged, left_out + 1)
             return []
-        began, lines, over = self._lines.get(refusal.word, (now, 0, 0))
-        if now >= began + LINE_SECONDS:
-            began, lines = now, 0
-        if lines >= MOST_LINES:
-            self._lines[refusal.word] = (began, lines, over + 1)
+        started, lines, suppressed = self._lines.get(refusal.kind, (now, 0, 0))
+        if now >= started + LINE_INTERVAL_SECONDS:
+            started, lines = now, 0
+        if lines >= MAX_LINES_PER_KIND:
+            self._lines[refusal.kind] = (started, lines, suppressed + 1)
             return []
-        self._lines[refusal.word] = (began, lines + 1, 0)
-        self._told[key] = (now, 0)
-        self._told.move_to_end(key)
-        if len(self._told) > MOST_SENDERS:
-            self._told.popitem(last=False)
+        self._lines[refusal.kind] = (started, lines + 1, 0)
+        self._pairs[key] = (now, 0)
+        self._pairs.move_to_end(key)
+        if len(self._pairs) > MAX_SENDERS:
+            self._pairs.popitem(last=False)
         return [
             note(
                 "word_refused",
-                word=refusal.word.value,
+                word=refusal.kind.value,
                 sender=key[1],
-                problem=shown(refusal.problem),
-                left_out=left_out + over,
+                problem=escape_for_log(refusal.problem),
+                left_out=left_out + suppressed,
             )
         ]
 
 
-def shown(text: str) -> str:
-    """Return text from outside as it may stand in a line of the log."""
-    return ascii(text[:MOST_TEXT])[1:-1][:MOST_TEXT]
+def escape_for_log(text: str) -> str:
+    """Return text from outside as short, printable ASCII."""
+    return ascii(text[:MAX_TEXT_LENGTH])[1:-1][:MAX_TEXT_LENGTH]
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/catalogpack.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/catalogpack.py
@@ -4,7 +4,7 @@
 
 import msgspec
 from paddleshunt_core.leased.catalog import Catalog
-from paddleshunt_core.leased.refusals import UNREADABLE
+from paddleshunt_core.leased.refusals import DECODE_ERRORS
 from paddleshunt_core.leased.wire import PackedCatalog
 
 MAX_UNPACKED = 8 << 20
@@ -35,7 +35,7 @@
         if not unpacker.eof:
             raise CatalogPackError(f"cut off, or more than {MAX_UNPACKED} bytes")
         catalog = _decoder.decode(content)
-    except (zlib.error, *UNREADABLE) as problem:
+    except (zlib.error, *DECODE_ERRORS) as problem:
         raise CatalogPackError(str(problem)) from problem
     if catalog.version != packed.version:
         raise CatalogPackError(f"version {catalog.version} packed as {packed.version}")
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.catalog import Catalog
 from paddleshunt_core.leased.catalogspread import LINK_MBPS, AskFor, CatalogSpread, HandOut
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.wire import (
     Body,
@@ -253,7 +253,7 @@
         try:
             catalog = unpack(packed)
         except CatalogPackError as problem:
-            self._owner.refuse(Refusal(Word.CONFIGURATION, link.peer, str(problem)))
+            self._owner.refuse(Refusal(InputKind.CONFIGURATION, link.peer, str(problem)))
             return
         self._owner.adopt(catalog, link.peer)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -4,7 +4,7 @@
 from typing import Protocol, final
 
 import msgspec
-from paddleshunt_core.leased.refusals import UNREADABLE, Refusal, Word
+from paddleshunt_core.leased.refusals import DECODE_ERRORS, InputKind, Refusal
 from paddleshunt_core.leased.wire import Frame, Hello
 
 from paddleshunt_node.aio import clock
@@ -108,14 +108,14 @@
         if self.peer:
             try:
                 frame = _frame.decode(message)
-            except UNREADABLE as problem:
+            except DECODE_ERRORS as problem:
                 self._refuse(str(problem))
                 return False
             self._handler.heard(self, frame)
         else:
             try:
                 hello = _hello.decode(message)
-            except UNREADABLE as problem:
+            except DECODE_ERRORS as problem:
                 self._refuse(str(problem))
                 return False
             if not hello.name:
@@ -127,7 +127,7 @@
 
     def _refuse(self, problem: str) -> None:
         """Break off a connection over which something came that can't be read."""
-        word = Word.FRAME if self.peer else Word.GREETING
+        word = InputKind.FRAME if self.peer else InputKind.GREETING
         self._handler.refused(self, Refusal(word, self.peer or self._remote(), problem))
         self.close()
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/peerwords.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/peerwords.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from paddleshunt_core.leased.refusals import Refusal, Refuse, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal, RefusalHandler
 from paddleshunt_core.leased.wire import EntryAddress
 
 from paddleshunt_node.aio.sockets import AddressError, split_address
@@ -23,13 +23,15 @@
     return ""
 
 
-def readable(entries: Iterable[EntryAddress], sender: str, refuse: Refuse) -> list[EntryAddress]:
+def readable(
+    entries: Iterable[EntryAddress], sender: str, refuse: RefusalHandler
+) -> list[EntryAddress]:
     """Return the entries that can be dialled; the others that `sender` told of are refused."""
     found: list[EntryAddress] = []
     for entry in entries:
         problem = problem_with(entry)
         if problem:
-            refuse(Refusal(Word.ADDRESS, sender, problem))
+            refuse(Refusal(InputKind.ADDRESS, sender, problem))
         else:
             found.append(entry)
     return found
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
@@ -75,8 +75,8 @@
 
     def refuse(self, refusal: Refusal) -> None:
         """Count a refused word, and write its line unless one like it was written lately."""
-        self.measures.refused(refusal.word.value)
-        for log in self._refusals.take(clock.now(), refusal):
+        self.measures.refused(refusal.kind.value)
+        for log in self._refusals.record(clock.now(), refusal):
             self.log(log)
 
     def cancel(self) -> None:
--- a/testing/core/leased/test_refusals.py
+++ b/testing/core/leased/test_refusals.py
@@ -1,17 +1,17 @@
-"""Refusals are counted each and told at a bounded rate."""
+"""Every refusal is counted, and log lines about them are rate-limited."""
 
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.refusals import (
-    LINE_SECONDS,
-    MOST_LINES,
-    MOST_SENDERS,
-    MOST_TEXT,
+    LINE_INTERVAL_SECONDS,
+    MAX_LINES_PER_KIND,
+    MAX_SENDERS,
+    MAX_TEXT_LENGTH,
+    InputKind,
     Refusal,
     Refusals,
-    Word,
 )
 
-ODD = Refusal(Word.HEARTBEAT, "i-7", "odd")
+BAD = Refusal(InputKind.HEARTBEAT, "i-7", "odd")
 
 
 def fields(logs: list[Log]) -> dict[str, str | int | float]:
@@ -20,46 +20,55 @@
     return log.fields
 
 
-def test_a_writer_that_goes_on_is_told_of_now_and_then_with_how_many_there_were() -> None:
+def test_repeated_refusals_are_logged_once_per_interval_with_the_number_left_out() -> None:
     refusals = Refusals()
-    assert fields(refusals.take(0.0, ODD))["left_out"] == 0
-    for second in range(1, int(LINE_SECONDS)):
-        assert refusals.take(second, ODD) == []
-    told = fields(refusals.take(LINE_SECONDS, ODD))
-    assert told == {
+    assert fields(refusals.record(0.0, BAD))["left_out"] == 0
+    for second in range(1, int(LINE_INTERVAL_SECONDS)):
+        assert refusals.record(second, BAD) == []
+    logged = fields(refusals.record(LINE_INTERVAL_SECONDS, BAD))
+    assert logged == {
         "word": "heartbeat",
         "sender": "i-7",
         "problem": "odd",
-        "left_out": int(LINE_SECONDS) - 1,
+        "left_out": int(LINE_INTERVAL_SECONDS) - 1,
     }
-    assert refusals.take(LINE_SECONDS + 1, ODD) == []
+    assert refusals.record(LINE_INTERVAL_SECONDS + 1, BAD) == []
 
 
-def test_other_writers_and_kinds_have_lines_of_their_own() -> None:
+def test_each_sender_and_kind_has_its_own_rate_limit() -> None:
     refusals = Refusals()
-    others = [ODD, Refusal(Word.HEARTBEAT, "i-8", "odd"), Refusal(Word.FRAME, "i-7", "odd")]
-    assert [len(refusals.take(0.0, refusal)) for refusal in others] == [1, 1, 1]
+    others = [
+        BAD,
+        Refusal(InputKind.HEARTBEAT, "i-8", "odd"),
+        Refusal(InputKind.FRAME, "i-7", "odd"),
+    ]
+    assert [len(refusals.record(0.0, refusal)) for refusal in others] == [1, 1, 1]
 
 
-def test_writers_whose_names_change_have_a_bounded_number_of_lines() -> None:
+def test_lines_of_one_kind_are_bounded_across_senders() -> None:
     refusals = Refusals()
-    odd = [Refusal(Word.HEARTBEAT, f"i-{number}", "odd") for number in range(5 * MOST_LINES)]
-    lines = [log for one in odd for log in refusals.take(1.0, one)]
-    assert len(lines) == MOST_LINES
-    assert refusals.take(1.0, Refusal(Word.FRAME, "i-7", "odd")) != []
-    told = fields(refusals.take(1.0 + LINE_SECONDS, odd[-1]))
-    assert (told["sender"], told["left_out"]) == (odd[-1].sender, 4 * MOST_LINES)
+    bad = [
+        Refusal(InputKind.HEARTBEAT, f"i-{number}", "odd")
+        for number in range(5 * MAX_LINES_PER_KIND)
+    ]
+    lines = [log for refusal in bad for log in refusals.record(1.0, refusal)]
+    assert len(lines) == MAX_LINES_PER_KIND
+    assert refusals.record(1.0, Refusal(InputKind.FRAME, "i-7", "odd")) != []
+    logged = fields(refusals.record(1.0 + LINE_INTERVAL_SECONDS, bad[-1]))
+    assert (logged["sender"], logged["left_out"]) == (bad[-1].sender, 4 * MAX_LINES_PER_KIND)
 
 
-def test_writers_that_are_many_are_not_all_remembered() -> None:
+def test_the_number_of_tracked_senders_is_bounded() -> None:
     refusals = Refusals()
-    for number in range(3 * MOST_SENDERS):
-        now = number // MOST_LINES * LINE_SECONDS
-        assert refusals.take(now, Refusal(Word.HEARTBEAT, f"i-{number}", "odd")) != []
-    assert len(refusals._told) == MOST_SENDERS
+    for number in range(3 * MAX_SENDERS):
+        now = number // MAX_LINES_PER_KIND * LINE_INTERVAL_SECONDS
+        assert refusals.record(now, Refusal(InputKind.HEARTBEAT, f"i-{number}", "odd")) != []
+    assert len(refusals._pairs) == MAX_SENDERS
 
 
-def test_what_comes_from_outside_stands_in_one_short_line() -> None:
-    told = fields(Refusals().take(0.0, Refusal(Word.FRAME, "\u2028\n" + "x" * 9999, "\ud800\x00é")))
-    for text in (str(told["sender"]), str(told["problem"])):
-        assert text.isascii() and text.isprintable() and len(text) <= MOST_TEXT
+def test_outside_text_is_escaped_and_truncated() -> None:
+    logged = fields(
+        Refusals().record(0.0, Refusal(InputKind.FRAME, "\u2028\n" + "x" * 9999, "\ud800\x00é"))
+    )
+    for text in (str(logged["sender"]), str(logged["problem"])):
+        assert text.isascii() and text.isprintable() and len(text) <= MAX_TEXT_LENGTH
--- a/testing/council/storescene.py
+++ b/testing/council/storescene.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-from paddleshunt_core.leased.refusals import Refuse, unheard
+from paddleshunt_core.leased.refusals import RefusalHandler, ignore_refusal
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_council.store import Store
 from paddleshunt_node.aio.httpserver import Exchange, Response
@@ -28,7 +28,7 @@
 def play(
     scene: Callable[[Store, _StandIn], Awaitable[None]],
     standin: _StandIn,
-    refuse: Refuse = unheard,
+    refuse: RefusalHandler = ignore_refusal,
 ) -> None:
     """Run a scene with a client of the store and its stand-in."""
 
--- a/testing/council/test_callers.py
+++ b/testing/council/test_callers.py
@@ -4,7 +4,7 @@
 import pytest
 from paddleshunt_core.leased.catalog import Catalog, Queue
 from paddleshunt_core.leased.outcomes import Completed, Failed, GivenUp, JobOutcome, Refused
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_council.callers import LEAST_ESTIMATE, Callers
 from paddleshunt_node.aio.httpserver import Request, Response
@@ -172,4 +172,4 @@
     callers = Callers(refused.append)
     for asked in (raw(b"{"), raw(GOOD, "soon"), request(body=job(count=0))):
         callers.read(asked, CATALOG)
-    assert [(one.word, one.sender) for one in refused] == 3 * [(Word.REQUEST, "short")]
+    assert [(one.kind, one.sender) for one in refused] == 3 * [(InputKind.REQUEST, "short")]
--- a/testing/council/test_catalog.py
+++ b/testing/council/test_catalog.py
@@ -4,7 +4,7 @@
 
 import pytest
 from paddleshunt_core.leased.catalog import RequestLimits
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_council.catalog import CatalogError, read_catalog
 from paddleshunt_council.store import Store
 from standins import StoreStandIn
@@ -64,7 +64,7 @@
     refused: list[Refusal] = []
     catalog = read_catalog(configured(routes=[route("a"), odd, route("b")]), refused.append)
     assert (catalog.version, [queue.name for queue in catalog.queues]) == (9, ["a", "b"])
-    assert [one.word for one in refused] == [Word.ROUTE]
+    assert [one.kind for one in refused] == [InputKind.ROUTE]
 
 
 def test_limits_that_can_not_be_read_leave_the_usual_ones() -> None:
@@ -72,16 +72,16 @@
     limits = {"max_body_bytes": -1, "max_header_bytes": 1000, "idle_timeout_ms": "long"}
     catalog = read_catalog(configured(limits=limits), refused.append)
     assert catalog.limits == RequestLimits(header_bytes=1000)
-    assert [(one.word, one.sender) for one in refused] == [
-        (Word.CONFIGURATION, "limits.max_body_bytes"),
-        (Word.CONFIGURATION, "limits.idle_timeout_ms"),
+    assert [(one.kind, one.sender) for one in refused] == [
+        (InputKind.CONFIGURATION, "limits.max_body_bytes"),
+        (InputKind.CONFIGURATION, "limits.idle_timeout_ms"),
     ]
 
 
 def test_limits_of_another_type_leave_the_usual_ones() -> None:
     refused: list[Refusal] = []
     assert read_catalog(configured(limits=[1000]), refused.append).limits == RequestLimits()
-    assert [(one.word, one.sender) for one in refused] == [(Word.CONFIGURATION, "limits")]
+    assert [(one.kind, one.sender) for one in refused] == [(InputKind.CONFIGURATION, "limits")]
 
 
 def test_a_route_may_have_any_host_of_dns_and_a_name_between_slashes() -> None:
@@ -94,7 +94,7 @@
     refused: list[Refusal] = []
     catalog = read_catalog(configured(services=[5, {"name": "s"}]), refused.append)
     assert [service.name for service in catalog.services] == ["s"]
-    assert [one.word for one in refused] == [Word.CONFIGURATION]
+    assert [one.kind for one in refused] == [InputKind.CONFIGURATION]
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,7 @@
         await store.next_word()
         standin.put("op/config", raw)
         assert (await store.next_word()).catalog is None
-        assert (refused[-1].word, refused[-1].sender) == (Word.CONFIGURATION, "op/config")
+        assert (refused[-1].kind, refused[-1].sender) == (InputKind.CONFIGURATION, "op/config")
         standin.put("op/config", config(10))
         word = await store.next_word()
         assert word.catalog is not None and word.catalog.version == 10
--- a/testing/council/test_items.py
+++ b/testing/council/test_items.py
@@ -2,7 +2,7 @@
 
 import pytest
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_council.store import Store
 from standins import StoreStandIn
 from storescene import ENTRY, config, item, listed, play, raw_store
@@ -29,7 +29,7 @@
         word = await store.next_word()
         assert word.catalog is not None and word.catalog.version == 3
         assert word.evacuated == EvacuatedHalls(7, ("hall",))
-        assert [one.word for one in refused] == [Word.STORE_ITEM]
+        assert [one.kind for one in refused] == [InputKind.STORE_ITEM]
 
     play(scene, raw_store(page)(), refused.append)
 
@@ -56,8 +56,8 @@
         standin.put("paddleshunt/entries/e9", odd)
         await store.announce(ENTRY, 12.0)
         assert await store.entries() == [ENTRY]
-        expected = [(Word.ADDRESS, "paddleshunt/entries/e9")]
-        assert [(one.word, one.sender) for one in refused] == expected
+        expected = [(InputKind.ADDRESS, "paddleshunt/entries/e9")]
+        assert [(one.kind, one.sender) for one in refused] == expected
 
     play(scene, StoreStandIn(), refused.append)
 
@@ -115,7 +115,7 @@
         standin.put("op/evacuate/", b"{}")
         word = await store.next_word()
         assert word.evacuated is not None and word.evacuated.halls == ()
-        assert [one.word for one in refused] == [Word.EVACUATION]
+        assert [one.kind for one in refused] == [InputKind.EVACUATION]
 
     play(scene, StoreStandIn(), refused.append)
 
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -4,7 +4,7 @@
 
 import pytest
 from paddleshunt_core.leased.orders import RunnerAccount
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
@@ -139,7 +139,7 @@
     account = Registration(refused.append).read(request)
     assert account == read(HEARTBEAT + "i-7", beat(**{field: None}))
     assert isinstance(account, RunnerAccount) and account.leaving
-    assert [(one.word, one.sender) for one in refused] == [(Word.HEARTBEAT, "i-7")]
+    assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
 
 
 def test_fields_that_may_be_added_later_are_passed_over() -> None:
@@ -169,5 +169,5 @@
     refused: list[Refusal] = []
     request = Request("POST", HEARTBEAT + "i-7", {}, beat(state="warming"))
     Registration(refused.append).read(request)
-    assert [(one.word, one.sender) for one in refused] == [(Word.HEARTBEAT, "i-7")]
+    assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
     assert "warming" in refused[0].problem and "state" in refused[0].problem
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -16,7 +16,7 @@
     StartRun,
     StopRun,
 )
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import RunId, TaskId
 from paddleshunt_council.runner import Runner
@@ -452,7 +452,7 @@
         runner = Runner(standin.address, refused.append)
         runner.expect(RunnerLife("i-1"))
         assert await runner.look(FIRST_LOOK) is None
-        assert {(one.word, one.sender) for one in refused} == {(Word.RUNNER_ANSWER, "i-1")}
+        assert {(one.kind, one.sender) for one in refused} == {(InputKind.RUNNER_ANSWER, "i-1")}
 
     asyncio.run(asyncio.wait_for(scene(), 20))
 
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
 from paddleshunt_core.leased.catalogspread import ASK_SECONDS
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.targets import TargetRecord
@@ -300,7 +300,7 @@
         for body in (pack(catalog), CatalogNews(catalog), PackedCatalog(8, b"odd")):
             peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [body]))
         assert owner.adopted == [(catalog, "e7")] * 2
-        assert [refusal.word for refusal in owner.refused] == [Word.CONFIGURATION]
+        assert [refusal.kind for refusal in owner.refused] == [InputKind.CONFIGURATION]
 
     play(monkeypatch, [], scene)
 
--- a/testing/node/aio/test_framing.py
+++ b/testing/node/aio/test_framing.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.wire import CatalogVersion, Frame, Hello
 from paddleshunt_node.aio.framing import MAX_MESSAGE, PeerLink
 
@@ -85,7 +85,7 @@
     link, handler, transport = connect()
     greet(link)
     link.data_received(data)
-    assert [(one.word, one.sender) for one in handler.refusals] == [(Word.FRAME, "t1")]
+    assert [(one.kind, one.sender) for one in handler.refusals] == [(InputKind.FRAME, "t1")]
     assert transport.aborted
     assert handler.frames == []
 
@@ -94,7 +94,9 @@
 def test_a_greeting_that_can_not_be_read_is_told_with_its_host(data: bytes) -> None:
     link, handler, transport = connect()
     link.data_received(data)
-    assert [(one.word, one.sender) for one in handler.refusals] == [(Word.GREETING, "10.0.0.9")]
+    assert [(one.kind, one.sender) for one in handler.refusals] == [
+        (InputKind.GREETING, "10.0.0.9")
+    ]
     assert transport.aborted
     assert handler.hellos == []
 
