--- a/benchmarks/containment.py
+++ b/benchmarks/containment.py
@@ -23,7 +23,7 @@
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.outcomes import Completed, Failed, Refused
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import LossNews
+from paddleshunt_core.leased.wire import LossUpdate
 
 
 def _queue(name: str, priority: int) -> Queue:
@@ -48,7 +48,7 @@
     confined: ClassVar[list[str]] = []
     """Queues that any entry has confined."""
 
-    def learn(self, now: float, news: LossNews, targets: Any) -> Any:
+    def learn(self, now: float, news: LossUpdate, targets: Any) -> Any:
         """Follow a word, and note which queues that confines."""
         is_news, logs = super().learn(now, news, targets)
         self.confined.extend(str(log.fields["queue"]) for log in logs)
@@ -59,7 +59,7 @@
 class Never(Way):
     """Nothing is contained."""
 
-    def learn(self, now: float, news: LossNews, targets: Any) -> Any:
+    def learn(self, now: float, news: LossUpdate, targets: Any) -> Any:
         """Note nothing."""
         return False, []
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/entry.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/entry.py
@@ -22,7 +22,7 @@
     Envelope,
     Exchange,
     Heartbeat,
-    MemberNews,
+    MemberUpdate,
     Misdirected,
     Running,
     Submit,
@@ -349,7 +349,7 @@
         )
         return Send(Incarnation(host, ""), address, body)
 
-    def _news(self, now: float, peer: _Peer | None, *, full: bool) -> list[MemberNews]:
+    def _news(self, now: float, peer: _Peer | None, *, full: bool) -> list[MemberUpdate]:
         """Return news of targets heard here: all changes, and some of the others in turn."""
         if full or peer is None:
             return [self.members.news(member, now) for member in self.members.all()]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -18,7 +18,7 @@
 from paddleshunt_core.leased.room import RoomNow
 from paddleshunt_core.leased.suspicion import Evidence, Suspicions
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import LossId, LossNews, RunnerReturned
+from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerReturned
 
 QUIET_SECONDS = 1.5
 """Seconds without a loss, with a target that takes work, after which a queue gets more targets.
@@ -133,7 +133,7 @@
             return []
         return self._confine(now, targets, self._suspicions.lost_again())
 
-    def learn(self, now: float, news: LossNews, targets: Targets) -> tuple[bool, list[Log]]:
+    def learn(self, now: float, news: LossUpdate, targets: Targets) -> tuple[bool, list[Log]]:
         """Follow a word on a runner; return whether it was news, and what it leads to."""
         if not self._suspicions.learn(now, news):
             return False, []
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -54,18 +54,18 @@
     Body,
     End,
     Ended,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     Hello,
-    LossNews,
+    LossUpdate,
     RunId,
     RunnerLost,
     RunnerReport,
     RunnerReturned,
     RunnerSilent,
     RunnerState,
-    SpeedNews,
+    SpeedUpdate,
     Stop,
 )
 
@@ -254,16 +254,16 @@
             return []
         for target in self._targets.values():
             if target.session is not None:
-                target.session.send(EvacuationNews(self._evacuations.known))
+                target.session.send(EvacuationUpdate(self._evacuations.known))
         return [evacuation_note(self._evacuations, source), *self._place(now)]
 
     # Lost runners.
 
-    def known_losses(self, now: float) -> list[LossNews]:
+    def known_losses(self, now: float) -> list[LossUpdate]:
         """Return what is remembered of lost runners, for an entry that was just met."""
         return self._retries.known_losses(now)
 
-    def told_loss(self, now: float, news: LossNews, source: str) -> list[Effect]:
+    def told_loss(self, now: float, news: LossUpdate, source: str) -> list[Effect]:
         """Follow a word on a lost runner, and give up jobs that it decides.
 
         A target's own word is handed on to all entries; theirs is not, or each would tell all.
@@ -302,7 +302,7 @@
         """What is known of how slow the kinds of hosts are."""
         return self._speeds
 
-    def told_speeds(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
+    def told_speeds(self, now: float, news: SpeedUpdate, source: str) -> list[Effect]:
         """Take another entry's word on kinds of hosts that it knows much better."""
         taken = self._speeds.told(news)
         if taken:
@@ -511,7 +511,7 @@
         session = target.session = Session(self._sessions, int(now * 1000))
         target.reset()
         if self._evacuations.known.revision:
-            session.send(EvacuationNews(self._evacuations.known))
+            session.send(EvacuationUpdate(self._evacuations.known))
         lost = [*target.placed, *target.held]
         target.placed.clear()
         target.held.clear()
@@ -563,7 +563,7 @@
                 self._speeds.reported(target)
                 self._wants.reported(target)
                 self._check_evacuation(target, body)
-            case EvacuationNews():
+            case EvacuationUpdate():
                 return self.told_evacuations(now, body.evacuated, target.name)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
                 return self.told_loss(now, body, target.name)
@@ -582,7 +582,7 @@
         covered = self._evacuations.covers(target.hall)
         differs = report.state is (RunnerState.READY if covered else RunnerState.EVACUATED)
         if differs and target.session is not None:
-            target.session.send(EvacuationNews(self._evacuations.known))
+            target.session.send(EvacuationUpdate(self._evacuations.known))
 
     def _ended(self, now: float, target: TargetRecord, run: RunId, end: End) -> list[Effect]:
         target.placed.discard(run)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -13,7 +13,7 @@
 from msgspec.structs import replace
 
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.wire import LossId, LossNews, RunnerLost, RunnerReturned, TaskId
+from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerLost, RunnerReturned, TaskId
 
 KEEP_SECONDS = 60.0
 """Seconds for which a loss is remembered: some tries of a caller, at 4 s and a pause each."""
@@ -74,7 +74,7 @@
         self._by_task: dict[TaskId, list[RunnerLife]] = {}
         self._answered: dict[RunnerLife, _Answered] = {}
 
-    def follow(self, now: float, news: LossNews) -> bool:
+    def follow(self, now: float, news: LossUpdate) -> bool:
         """Follow a word on a lost runner; return whether it was news. A silent one is none."""
         if isinstance(news, RunnerReturned):
             return self.returned(now, news.loss)
@@ -123,7 +123,7 @@
             self._forget(loss.incarnation)
         return True
 
-    def all(self, now: float) -> list[LossNews]:
+    def all(self, now: float) -> list[LossUpdate]:
         """Return what is remembered, to hand on; each loss says how long it has been known.
 
         It includes who answered again: whoever heard of the loss alone would count it.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import final
 
-from paddleshunt_core.leased.wire import LossNews
+from paddleshunt_core.leased.wire import LossUpdate
 
 
 @final
@@ -53,7 +53,7 @@
 class HandOn:
     """Tell the other entries what has just been learned here."""
 
-    news: LossNews
+    news: LossUpdate
 
 
 JobOutcome = Completed | Failed | Refused | GivenUp
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -14,7 +14,7 @@
 from paddleshunt_core.leased.jobs import JobRecord, TaskPhase, TaskRecord
 from paddleshunt_core.leased.losses import LossBook
 from paddleshunt_core.leased.outcomes import GivenUp
-from paddleshunt_core.leased.wire import LossNews, RunnerReturned, RunnerSilent
+from paddleshunt_core.leased.wire import LossUpdate, RunnerReturned, RunnerSilent
 
 LOST_RUNNERS = 2
 """Runners lost under a task after which it is not started again, whatever else ran on them.
@@ -48,11 +48,11 @@
     def __init__(self) -> None:
         self._losses = LossBook()
 
-    def known_losses(self, now: float) -> list[LossNews]:
+    def known_losses(self, now: float) -> list[LossUpdate]:
         """Return what is remembered of lost runners, to hand on."""
         return self._losses.all(now)
 
-    def learn(self, now: float, news: LossNews, source: str) -> list[Log]:
+    def learn(self, now: float, news: LossUpdate, source: str) -> list[Log]:
         """Follow a word on a lost runner; return the line about it, none if it was known.
 
         One that is only silent counts for nothing: what is at work on it may go on.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.leased.runtable import Run, RunTable
 from paddleshunt_core.leased.wire import (
     LossId,
-    LossNews,
+    LossUpdate,
     RunnerLost,
     RunnerReturned,
     RunnerSilent,
@@ -50,9 +50,9 @@
         """What was told of the life that is known, as silent or lost, if it may answer again."""
         self._silence: _Silence | None = None
         """Its loss, if it gave no sign since that was told."""
-        self._news: list[LossNews] = []
+        self._news: list[LossUpdate] = []
 
-    def take_news(self) -> list[LossNews]:
+    def take_news(self) -> list[LossUpdate]:
         """Return which lives fell silent or were lost with their runs, or answer again, once."""
         news = self._news
         self._news = []
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -14,7 +14,7 @@
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.jobs import OVERHEAD_SECONDS
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import KindSpeed, SpeedNews
+from paddleshunt_core.leased.wire import KindSpeed, SpeedUpdate
 
 MEMORY_ENDS = 200.0
 """Ends that count in a kind's factor at most: a change of it is followed within about so many."""
@@ -295,25 +295,25 @@
 
     # Other entries.
 
-    def known(self) -> SpeedNews | None:
+    def known(self) -> SpeedUpdate | None:
         """Return all that was learned here, for an entry that was just met."""
         kinds = [
             self._word(kind, evidence)
             for kind, evidence in self._kinds.items()
             if evidence.own >= LEAST_TOLD
         ]
-        return SpeedNews(kinds) if kinds else None
+        return SpeedUpdate(kinds) if kinds else None
 
-    def news(self) -> SpeedNews | None:
+    def news(self) -> SpeedUpdate | None:
         """Return what was learned here since the last call; None if that is nothing."""
         kinds = []
         for kind, evidence in self._kinds.items():
             if evidence.is_news():
                 evidence.told, evidence.told_own = evidence.seen, evidence.own
                 kinds.append(self._word(kind, evidence))
-        return SpeedNews(kinds) if kinds else None
+        return SpeedUpdate(kinds) if kinds else None
 
-    def told(self, news: SpeedNews) -> list[KindSpeed]:
+    def told(self, news: SpeedUpdate) -> list[KindSpeed]:
         """Take another entry's word where it knows much more, and return what was taken.
 
         What is taken counts for a few ends, so that those seen here soon weigh more, and is told
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
@@ -19,7 +19,7 @@
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import (
     LossId,
-    LossNews,
+    LossUpdate,
     RunnerLost,
     RunnerReturned,
     RunnerSilent,
@@ -124,7 +124,7 @@
         """Whether a silence may yet become evidence by lasting longer."""
         return not self._seen.keys() <= self._ripe
 
-    def learn(self, now: float, news: LossNews) -> bool:
+    def learn(self, now: float, news: LossUpdate) -> bool:
         """Follow a word on a runner; return whether it was news."""
         self._expire(now)
         loss = news.loss
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wants.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wants.py
@@ -5,7 +5,7 @@
 
 from paddleshunt_core.leased.jobs import JobRecord
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import Decline, Want
+from paddleshunt_core.leased.wire import DeclineOffer, ResourceRequest
 
 PAUSE_SECONDS = 0.02
 """Shortest time between two rounds in which all targets are told; a short task waits 0.1 s."""
@@ -56,7 +56,7 @@
         for target in self._reported:
             offered = target.report is not None and target.told_need.fits(target.report.free)
             if target.told_want and offered and target.name not in used and target.session:
-                target.session.send(Decline())
+                target.session.send(DeclineOffer())
                 target.told_want = ""
         self._reported.clear()
 
@@ -68,7 +68,7 @@
         for target in targets:
             job = _untold(now, heads, target)
             if job is not None and target.session is not None:
-                target.session.send(Want(job.request.need, _within_ms(now, job)))
+                target.session.send(ResourceRequest(job.request.need, _within_ms(now, job)))
                 target.told_want = job.request.key
                 target.told_need = job.request.need
                 target.told_at = now
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -102,7 +102,7 @@
 
 
 @final
-class Want(_Body, frozen=True, tag=9):
+class ResourceRequest(_Body, frozen=True, tag=9):
     """The most urgent task that waits for room at an entry, which must start in `within_ms`.
 
     It holds until the entry assigns the target something, or leaves an offer of room unused.
@@ -113,7 +113,7 @@
 
 
 @final
-class Decline(_Body, frozen=True, tag=10):
+class DeclineOffer(_Body, frozen=True, tag=10):
     """Leave the room that was offered to other entries: nothing waits that fits."""
 
 
@@ -180,7 +180,7 @@
 
 
 @final
-class CatalogNews(_Body, frozen=True, tag=7):
+class CatalogUpdate(_Body, frozen=True, tag=7):
     """A configuration in force at the sender, as processes of the version before hand it on."""
 
     catalog: Catalog
@@ -203,7 +203,7 @@
 
 
 @final
-class EvacuationNews(_Body, frozen=True, tag=11):
+class EvacuationUpdate(_Body, frozen=True, tag=11):
     """The data halls that the sender knows to be evacuated."""
 
     evacuated: EvacuatedHalls
@@ -271,14 +271,14 @@
 
 
 @final
-class SpeedNews(_Body, frozen=True, tag=17):
+class SpeedUpdate(_Body, frozen=True, tag=17):
     """What the sender has learned of how slow kinds of hosts are."""
 
     kinds: list[KindSpeed]
 
 
 @final
-class TargetsHeld(_Body, frozen=True, tag=19):
+class SessionCount(_Body, frozen=True, tag=19):
     """How many targets the sending entry has in session."""
 
     count: int
@@ -301,24 +301,24 @@
 Body = (
     Assign
     | Stop
-    | Want
-    | Decline
+    | ResourceRequest
+    | DeclineOffer
     | Ended
     | RunnerReport
     | Entries
     | EntryChanges
-    | CatalogNews
+    | CatalogUpdate
     | CatalogVersion
     | PackedCatalog
-    | EvacuationNews
+    | EvacuationUpdate
     | RunnerLost
     | RunnerReturned
-    | SpeedNews
-    | TargetsHeld
+    | SpeedUpdate
+    | SessionCount
     | RunnerSilent
 )
 
-LossNews = RunnerLost | RunnerReturned | RunnerSilent
+LossUpdate = RunnerLost | RunnerReturned | RunnerSilent
 """What targets and entries tell of a runner that may have been lost."""
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -25,17 +25,17 @@
 from paddleshunt_core.leased.wire import (
     Assign,
     Body,
-    Decline,
+    DeclineOffer,
     End,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     Hello,
+    ResourceRequest,
     RunId,
     RunnerState,
     Stop,
     TaskId,
-    Want,
 )
 
 STILL_HEARTBEATS = 2.0
@@ -359,11 +359,11 @@
             case Assign():
                 self._offers.drop(entry)
                 self._assign(now, entry, body)
-            case Decline():
+            case DeclineOffer():
                 self._offers.drop(entry)
-            case EvacuationNews():
+            case EvacuationUpdate():
                 return self._learn(entry, body)
-            case Want():
+            case ResourceRequest():
                 self._offers.want(entry, body.need, now + body.within_ms / 1000)
             case Stop():
                 self._links[entry].withdraw(body.runs)
@@ -375,13 +375,13 @@
                 ]
         return []
 
-    def _learn(self, entry: str, news: EvacuationNews) -> list[Effect]:
+    def _learn(self, entry: str, news: EvacuationUpdate) -> list[Effect]:
         """Follow an entry's word of evacuated halls, or tell it a later one."""
         evacuations = self._control.evacuations
         if evacuations.outdates(news.evacuated):
             session = self.session(entry)
             if session is not None:
-                session.send(EvacuationNews(evacuations.known))
+                session.send(EvacuationUpdate(evacuations.known))
             return []
         if not evacuations.learn(news.evacuated):
             return []
--- a/packages/paddleshunt-core/src/paddleshunt_core/members.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/members.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from paddleshunt_core.ids import Incarnation
-from paddleshunt_core.messages import Heartbeat, Load, MemberNews, PeerInfo
+from paddleshunt_core.messages import Heartbeat, Load, MemberUpdate, PeerInfo
 
 SUSPECT_AFTER = 3.0
 """Heartbeat intervals without news after which a target is suspected."""
@@ -233,11 +233,11 @@
                 found.append(member)
         return found
 
-    def news(self, member: Member, now: float) -> MemberNews:
+    def news(self, member: Member, now: float) -> MemberUpdate:
         """Return what another entry should know of a member."""
         age_ms = int((now - member.sent) * 1000)
         suspect = self.is_suspect(member, now)
-        return MemberNews(member.incarnation, member.heartbeat, age_ms, suspect)
+        return MemberUpdate(member.incarnation, member.heartbeat, age_ms, suspect)
 
     def peer_info(self, member: Member, now: float) -> PeerInfo:
         """Return what other targets need to know of a member."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/messages.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/messages.py
@@ -223,7 +223,7 @@
 
 
 @final
-class Picture(msgspec.Struct, frozen=True, array_like=True):
+class ServiceSnapshot(msgspec.Struct, frozen=True, array_like=True):
     """The rows of a target's service, the targets it may give work to, and the entries."""
 
     rows: list[Row]
@@ -242,12 +242,12 @@
     table_revision: int
     heartbeat_ms: int
     share: Share | None
-    whole: Picture | None
+    whole: ServiceSnapshot | None
     ended: list[Incarnation]
 
 
 @final
-class MemberNews(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What one entry heard of one target, for other entries."""
 
     incarnation: Incarnation
@@ -261,7 +261,7 @@
     """What an entry heard lately, and the configuration it follows (JSON texts, with sync only)."""
 
     table_revision: int
-    members: list[MemberNews]
+    members: list[MemberUpdate]
     ended: list[Incarnation]
     reply: bool = False
     table: bytes = b""
--- a/packages/paddleshunt-core/src/paddleshunt_core/target.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/target.py
@@ -21,9 +21,9 @@
     Inquire,
     Load,
     Misdirected,
-    Picture,
     Query,
     Report,
+    ServiceSnapshot,
     Submit,
     View,
 )
@@ -206,7 +206,7 @@
         self._rows = rows
         return [Log("table_adopted", fields={"revision": revision})]
 
-    def _take_picture(self, now: float, picture: Picture, revision: int) -> list[Effect]:
+    def _take_picture(self, now: float, picture: ServiceSnapshot, revision: int) -> list[Effect]:
         self._entries = {entry.host: entry.address for entry in picture.entries}
         effects = self._adopt_table(revision, picture.rows)
         closed = {row.site for row in self._rows if row.weight == 0}
--- a/packages/paddleshunt-core/src/paddleshunt_core/views.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/views.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.effects import Send
 from paddleshunt_core.ids import Incarnation
 from paddleshunt_core.members import Member, Members
-from paddleshunt_core.messages import EntryInfo, Picture, View
+from paddleshunt_core.messages import EntryInfo, ServiceSnapshot, View
 from paddleshunt_core.table import TableController
 
 PEERS_NEAR = 24
@@ -44,7 +44,7 @@
         allotment: Allotment | None,
     ) -> Send:
         """Return the view for a member; whole if the member lacks it."""
-        picture = Picture(
+        picture = ServiceSnapshot(
             self._table.rows_of(member.service),
             [self._members.peer_info(peer, now) for peer in self._subset(member)],
             entries,
@@ -92,7 +92,7 @@
     return xxhash.xxh32_intdigest(f"{member.incarnation.host}/{other.incarnation.host}".encode())
 
 
-def _digest(picture: Picture) -> int:
+def _digest(picture: ServiceSnapshot) -> int:
     """Return a digest of everything in a picture but load and clocks.
 
     All entries that know the same make the same one: peers come sorted.
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -11,21 +11,21 @@
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.wire import (
     Body,
-    CatalogNews,
+    CatalogUpdate,
     CatalogVersion,
     Entries,
     EntryAddress,
     EntryChanges,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Hello,
-    LossNews,
+    LossUpdate,
     PackedCatalog,
     RunnerLost,
     RunnerReturned,
     RunnerSilent,
-    SpeedNews,
-    TargetsHeld,
+    SessionCount,
+    SpeedUpdate,
 )
 
 from paddleshunt_node.aio import clock
@@ -75,17 +75,17 @@
     def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Take the evacuated halls that another entry knows."""
 
-    def known_losses(self) -> list[LossNews]:
+    def known_losses(self) -> list[LossUpdate]:
         """Return what is remembered of lost runners."""
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def told_loss(self, news: LossUpdate, source: str) -> None:
         """Take another entry's word on a lost runner."""
 
     @property
     def speeds(self) -> Speeds:
         """What is known of how slow the kinds of hosts are."""
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def told_speeds(self, news: SpeedUpdate, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
 
     def targets_held(self) -> int:
@@ -185,9 +185,9 @@
 
     def tell_evacuations(self, evacuated: EvacuatedHalls) -> None:
         """Tell all which halls are evacuated."""
-        self._send_all(EvacuationNews(evacuated))
+        self._send_all(EvacuationUpdate(evacuated))
 
-    def tell_loss(self, news: LossNews) -> None:
+    def tell_loss(self, news: LossUpdate) -> None:
         """Hand a word on a lost runner on to all."""
         self._send_all(news)
 
@@ -207,8 +207,8 @@
             self._tell_changes()
             self._send_all(
                 CatalogVersion(self._owner.catalog.version),
-                EvacuationNews(self._owner.evacuations.known),
-                TargetsHeld(self._owner.targets_held()),
+                EvacuationUpdate(self._owner.evacuations.known),
+                SessionCount(self._owner.targets_held()),
             )
             learned = self._owner.speeds.news()
             if learned is not None:
@@ -325,13 +325,13 @@
             case Entries():
                 for entry in readable(body.entries, link.peer, self._owner.refuse):
                     self.met(entry)
-            case EvacuationNews():
+            case EvacuationUpdate():
                 if self._owner.evacuations.outdates(body.evacuated):
-                    link.send(_loose(EvacuationNews(self._owner.evacuations.known)))
+                    link.send(_loose(EvacuationUpdate(self._owner.evacuations.known)))
                 self._owner.learn(body.evacuated, link.peer)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
                 self._owner.told_loss(body, link.peer)
-            case CatalogNews():
+            case CatalogUpdate():
                 self._owner.adopt(body.catalog, link.peer)
             case PackedCatalog():
                 self._unpack(link, body)
@@ -342,9 +342,9 @@
 
     def _take_figures(self, link: PeerLink, body: Body) -> None:
         match body:
-            case SpeedNews():
+            case SpeedUpdate():
                 self._owner.told_speeds(body, link.peer)
-            case TargetsHeld():
+            case SessionCount():
                 self._owner.told_targets(body.count, link.peer)
             case _:
                 pass
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -24,8 +24,8 @@
     EntryChanges,
     Frame,
     Hello,
-    LossNews,
-    SpeedNews,
+    LossUpdate,
+    SpeedUpdate,
 )
 
 from paddleshunt_node.aio import clock
@@ -359,11 +359,11 @@
         """Dial an entry that was heard of."""
         self._peers.met(entry)
 
-    def known_losses(self) -> list[LossNews]:
+    def known_losses(self) -> list[LossUpdate]:
         """Return what is remembered of lost runners."""
         return self._dispatcher.known_losses(self._now())
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def told_loss(self, news: LossUpdate, source: str) -> None:
         """Take another entry's word on a lost runner."""
         self._act(self._dispatcher.told_loss(self._now(), news, source))
 
@@ -372,7 +372,7 @@
         """What is known of how slow the kinds of hosts are."""
         return self._dispatcher.speeds
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def told_speeds(self, news: SpeedUpdate, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
         self._act(self._dispatcher.told_speeds(self._now(), news, source))
 
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -19,7 +19,7 @@
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import (
     Assign,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     Hello,
@@ -163,11 +163,11 @@
 def test_a_hall_taken_back_while_the_store_is_away_has_cold_runners_until_they_are_warm() -> None:
     made = worker(0.0)
     told(made, 1.0)
-    frame = Frame(1, 0, 1000, 1000, [EvacuationNews(EvacuatedHalls(20, ("a",)))])
+    frame = Frame(1, 0, 1000, 1000, [EvacuationUpdate(EvacuatedHalls(20, ("a",)))])
     made.heard(1.0, "e", frame)
     # Heartbeats go on without the store; so does what another entry says of the hall.
     made.runner_spoke(1.2, account(1.5))
-    back = Frame(2, 0, 1100, 1300, [EvacuationNews(EvacuatedHalls(21, ()))])
+    back = Frame(2, 0, 1100, 1300, [EvacuationUpdate(EvacuatedHalls(21, ()))])
     made.heard(1.3, "e", back)
     made.prepare_frames(1.3)
     session = made.session("e")
--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -14,7 +14,7 @@
     Assign,
     End,
     Ended,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Hello,
     RunId,
@@ -78,7 +78,7 @@
 
 def test_an_assignment_to_an_evacuated_hall_is_given_back() -> None:
     worker = worker_in("a")
-    effects = worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationNews(HALL_A), ASSIGN]))
+    effects = worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationUpdate(HALL_A), ASSIGN]))
     assert not [effect for effect in effects if isinstance(effect, StartRun)]
     bodies = sent(worker, 1.01)
     assert Ended([(RUN, End.NOT_STARTED)]) in bodies
@@ -90,7 +90,7 @@
     worker = worker_in("a")
     worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     assert worker.may_send(1.0, RUN, "e")
-    worker.heard(1.001, "e", Frame(2, 0, 1001, 1001, [EvacuationNews(HALL_A)]))
+    worker.heard(1.001, "e", Frame(2, 0, 1001, 1001, [EvacuationUpdate(HALL_A)]))
     assert not worker.may_send(1.001, RUN, "e")
     worker.start_answered(1.002, RUN, StartAnswer.WITHDRAWN)
     assert Ended([(RUN, End.NOT_STARTED)]) in sent(worker, 1.01)
@@ -100,7 +100,7 @@
     worker = worker_in("a")
     worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [ASSIGN]))
     worker.start_answered(1.001, RUN, StartAnswer.STARTED)
-    effects = worker.heard(1.002, "e", Frame(2, 0, 1002, 1002, [EvacuationNews(HALL_A)]))
+    effects = worker.heard(1.002, "e", Frame(2, 0, 1002, 1002, [EvacuationUpdate(HALL_A)]))
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
     assert worker.runs == 1
 
@@ -129,9 +129,9 @@
 
 def test_a_target_puts_an_entry_right_that_knows_less() -> None:
     worker = worker_in("a")
-    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationNews(HALL_A)]))
-    worker.heard(1.1, "e", Frame(2, 0, 1100, 1100, [EvacuationNews(EvacuatedHalls(10, ()))]))
-    assert EvacuationNews(HALL_A) in sent(worker, 1.11)
+    worker.heard(1.0, "e", Frame(1, 0, 1000, 1000, [EvacuationUpdate(HALL_A)]))
+    worker.heard(1.1, "e", Frame(2, 0, 1100, 1100, [EvacuationUpdate(EvacuatedHalls(10, ()))]))
+    assert EvacuationUpdate(HALL_A) in sent(worker, 1.11)
 
 
 # With entries, in a fleet whose targets are all in the hall `hall`.
--- a/testing/core/leased/test_kinds.py
+++ b/testing/core/leased/test_kinds.py
@@ -6,7 +6,7 @@
 from leasedfleet import Fleet
 from leasedrunner import Runner
 from paddleshunt_core.leased.outcomes import Completed
-from paddleshunt_core.leased.wire import KindSpeed, SpeedNews
+from paddleshunt_core.leased.wire import KindSpeed, SpeedUpdate
 
 FAST, SLOW = 0.7, 1.7
 
@@ -93,7 +93,7 @@
 
 
 def test_an_entrys_nonsense_is_outweighed_by_four_hundred_jobs(fleet: Fleet) -> None:
-    nonsense = SpeedNews([KindSpeed("svc", "a", 10**9, 10**9), KindSpeed("svc", "b", 1, 10**9)])
+    nonsense = SpeedUpdate([KindSpeed("svc", "a", 10**9, 10**9), KindSpeed("svc", "b", 1, 10**9)])
     fleet.dispatchers["e0"].told_speeds(fleet.now, nonsense, "e1")
     fleet.kill("e1")
     work(fleet, 40.0, "j")
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -18,7 +18,7 @@
     Retries,
 )
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.wire import LossId, LossNews, RunnerLost, RunnerReturned, TaskId
+from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerLost, RunnerReturned, TaskId
 
 LIVES = 4
 TASKS = [TaskId("job", 0, index) for index in range(3)]
@@ -41,9 +41,9 @@
     ended: list[TaskId] | None
     """What it was known to have had at work as it ended in the last silence; None if it lives."""
 
-    def words(self) -> list[LossNews]:
+    def words(self) -> list[LossUpdate]:
         """Return all that its target says of it."""
-        said: list[LossNews] = []
+        said: list[LossUpdate] = []
         last = len(self.silences) - 1
         for number, (silent_ms, tasks) in enumerate(self.silences):
             loss = LossId.of(self.name, silent_ms)
@@ -75,14 +75,14 @@
 
 
 @st.composite
-def heard(draw: st.DrawFn) -> tuple[list[Life], list[LossNews]]:
+def heard(draw: st.DrawFn) -> tuple[list[Life], list[LossUpdate]]:
     """Give lives, and those of the words on them that come, in any order, some of them twice."""
     truth = draw(lives())
     said = [word for incarnation in truth for word in incarnation.words()]
     return truth, draw(st.lists(st.sampled_from(said), max_size=2 * len(said)))
 
 
-def told(words: Iterable[LossNews]) -> LossBook:
+def told(words: Iterable[LossUpdate]) -> LossBook:
     book = LossBook()
     for word in words:
         book.follow(1.0, word)
@@ -93,10 +93,10 @@
     return {task: (set(book.runners(task)), set(book.ended(task))) for task in TASKS}
 
 
-def expected(words: Iterable[LossNews]) -> State:
+def expected(words: Iterable[LossUpdate]) -> State:
     """Work out what counts: of each life its latest silence, if no answer after it was told of."""
     state: State = {task: (set(), set()) for task in TASKS}
-    by_life: dict[RunnerLife, list[LossNews]] = {}
+    by_life: dict[RunnerLife, list[LossUpdate]] = {}
     for word in words:
         by_life.setdefault(word.loss.incarnation, []).append(word)
     for incarnation, about in by_life.items():
@@ -121,7 +121,7 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(heard())
 def test_of_each_life_the_latest_silence_counts_whatever_the_order(
-    case: tuple[list[Life], list[LossNews]],
+    case: tuple[list[Life], list[LossUpdate]],
 ) -> None:
     _, words = case
     book = told(words)
@@ -133,7 +133,7 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(heard(), st.randoms(use_true_random=False))
 def test_the_same_words_in_another_order_leave_the_same_state(
-    case: tuple[list[Life], list[LossNews]], rng: object
+    case: tuple[list[Life], list[LossUpdate]], rng: object
 ) -> None:
     _, words = case
     other = [*words]
@@ -144,7 +144,7 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(heard())
 def test_a_loss_that_its_life_outlived_never_stands_once_a_later_word_was_heard(
-    case: tuple[list[Life], list[LossNews]],
+    case: tuple[list[Life], list[LossUpdate]],
 ) -> None:
     truth, words = case
     book = told(words)
@@ -162,7 +162,7 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(heard())
 def test_a_job_is_told_of_ended_runners_only_if_enough_lives_ended_under_its_tasks(
-    case: tuple[list[Life], list[LossNews]],
+    case: tuple[list[Life], list[LossUpdate]],
 ) -> None:
     truth, words = case
     retries = Retries()
@@ -185,7 +185,7 @@
         assert outcome == GivenUp(SILENT_RUNNERS)
 
 
-def says_ended(words: list[LossNews], incarnation: Life) -> bool:
+def says_ended(words: list[LossUpdate], incarnation: Life) -> bool:
     return any(
         isinstance(w, RunnerLost) and w.ended and w.loss.incarnation == incarnation.name
         for w in words
@@ -195,7 +195,7 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(heard(), st.integers(0, 20))
 def test_what_two_books_hand_on_together_is_what_one_would_know(
-    case: tuple[list[Life], list[LossNews]], cut: int
+    case: tuple[list[Life], list[LossUpdate]], cut: int
 ) -> None:
     _, words = case
     halves = told(words[:cut]), told(words[cut:])
--- a/testing/core/leased/test_odd_frames.py
+++ b/testing/core/leased/test_odd_frames.py
@@ -13,16 +13,17 @@
     Assign,
     Body,
     CatalogVersion,
-    Decline,
+    DeclineOffer,
     End,
     Ended,
     Entries,
     EntryAddress,
     EntryChanges,
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
     Health,
     LossId,
+    ResourceRequest,
     RunId,
     RunnerLost,
     RunnerReport,
@@ -30,7 +31,6 @@
     RunnerState,
     Stop,
     TaskId,
-    Want,
 )
 
 FRAMES = 20
@@ -65,8 +65,8 @@
         bodies: list[Body] = [
             Assign(text(), n(), text(), amount(), n(), n(), [(n(), n()), (n(), n())]),
             Stop([self.run()]),
-            Want(amount(), n()),
-            Decline(),
+            ResourceRequest(amount(), n()),
+            DeclineOffer(),
             Ended([(self.run(), rng.choice(list(End)))]),
             RunnerReport(
                 text(),
@@ -80,7 +80,7 @@
             Entries([EntryAddress(text(), text())]),
             EntryChanges([EntryAddress(text(), text())], [text()]),
             CatalogVersion(n()),
-            EvacuationNews(EvacuatedHalls(n(), (text(),))),
+            EvacuationUpdate(EvacuatedHalls(n(), (text(),))),
             RunnerLost(LossId(text(), n()), [self.task()]),
             RunnerReturned(LossId(text(), n())),
         ]
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("amount", [MOST_AMOUNT + 1, -MOST_AMOUNT - 1, 2**63, 2**64 - 1])
 def test_an_amount_that_sums_could_not_be_sent_of_is_no_message(amount: int) -> None:
-    raw = msgspec.msgpack.encode(Frame(1, 0, 0, 0, [Want(Resources(amount), 5)]))
+    raw = msgspec.msgpack.encode(Frame(1, 0, 0, 0, [ResourceRequest(Resources(amount), 5)]))
     with pytest.raises(msgspec.ValidationError, match="Expected `int`"):
         msgspec.msgpack.decode(raw, type=Frame)
 
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -12,7 +12,7 @@
 from paddleshunt_core.leased.orders import LookAnswer, RunnerAccount
 from paddleshunt_core.leased.resources import NOTHING, Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, RunnerReport, Want
+from paddleshunt_core.leased.wire import Assign, Body, Frame, Hello, ResourceRequest, RunnerReport
 from paddleshunt_core.leased.worker import Worker
 
 TIMES = lease_times(Bounds())
@@ -45,7 +45,7 @@
         self.numbers[entry] += 1
 
     def want(self, entry: str, need: Resources, within_ms: int) -> None:
-        self.hear(entry, Want(need, within_ms))
+        self.hear(entry, ResourceRequest(need, within_ms))
 
     def tell(self) -> None:
         """Let reports leave that are due, and note what each entry is shown by its last one."""
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -19,7 +19,7 @@
     Speeds,
 )
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wire import Health, KindSpeed, RunnerReport, RunnerState, SpeedNews
+from paddleshunt_core.leased.wire import Health, KindSpeed, RunnerReport, RunnerState, SpeedUpdate
 
 SLOWNESS = {"a": 0.7, "b": 1.7}
 RATIO = SLOWNESS["b"] / SLOWNESS["a"]
@@ -65,8 +65,8 @@
         speeds.compare_tasks(0.4, done)
 
 
-def known_by(kinds: dict[str, int], ends: int = 100) -> SpeedNews:
-    return SpeedNews([KindSpeed("svc", kind, slow, ends) for kind, slow in kinds.items()])
+def known_by(kinds: dict[str, int], ends: int = 100) -> SpeedUpdate:
+    return SpeedUpdate([KindSpeed("svc", kind, slow, ends) for kind, slow in kinds.items()])
 
 
 TOLD = known_by({"a": 700, "b": 1700})
@@ -283,7 +283,7 @@
 )
 def test_nonsense_is_not_taken(word: KindSpeed) -> None:
     speeds = Speeds()
-    assert speeds.told(SpeedNews([word])) == []
+    assert speeds.told(SpeedUpdate([word])) == []
     assert speeds.all() == []
 
 
--- a/testing/core/leased/test_wants.py
+++ b/testing/core/leased/test_wants.py
@@ -8,7 +8,13 @@
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wants import PAUSE_SECONDS, REPEAT_SECONDS, Wants
-from paddleshunt_core.leased.wire import Decline, Health, RunnerReport, RunnerState, Want
+from paddleshunt_core.leased.wire import (
+    DeclineOffer,
+    Health,
+    ResourceRequest,
+    RunnerReport,
+    RunnerState,
+)
 
 QUEUE = Queue("q", "host", "/q/", "svc", stretch=1.6, latency=0.06)
 NEED = Resources(2000, 64)
@@ -28,17 +34,17 @@
     return new_job(1, JobRequest(key, "spec", 2, NEED, 0.5, 4.0, label=label), QUEUE, at)
 
 
-def told(record: TargetRecord) -> list[Want]:
+def told(record: TargetRecord) -> list[ResourceRequest]:
     assert record.session is not None
     bodies = record.session.frame(0).bodies
-    return [body for body in bodies if isinstance(body, Want)]
+    return [body for body in bodies if isinstance(body, ResourceRequest)]
 
 
 def test_all_targets_of_the_service_are_told_of_the_job_that_waits() -> None:
     ours, other = target("t0"), target("t1", service="other")
     Wants().tell(1.0, {"svc": waiting()}, [ours, other], [])
     # It must start 0.36 s after it came: 1.6 times 0.5 s, and 0.06 s, less its length.
-    assert told(ours) == [Want(NEED, 360)]
+    assert told(ours) == [ResourceRequest(NEED, 360)]
     assert told(other) == []
 
 
@@ -71,7 +77,7 @@
 def test_a_job_that_is_late_already_goes_behind_all_others() -> None:
     ours = target("t0")
     Wants().tell(9.0, {"svc": waiting(at=1.0)}, [ours], [])
-    assert told(ours) == [Want(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
+    assert told(ours) == [ResourceRequest(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
 
 
 @pytest.mark.parametrize(("labels", "count"), [((), 0), (("big",), 1)], ids=["without", "with"])
@@ -92,7 +98,7 @@
         wants.reported(record)
     wants.tell(1.001, {}, [offering, used], [used])
     assert offering.session is not None and used.session is not None
-    assert offering.session.frame(0).bodies == [Decline()]
+    assert offering.session.frame(0).bodies == [DeclineOffer()]
     assert used.session.frame(0).bodies == []
 
 
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -19,16 +19,16 @@
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import (
     Assign,
-    Decline,
+    DeclineOffer,
     End,
     Ended,
     Frame,
     Hello,
+    ResourceRequest,
     RunId,
     RunnerReport,
     RunnerState,
     TaskId,
-    Want,
 )
 from paddleshunt_core.leased.worker import Worker
 
@@ -208,8 +208,8 @@
 def test_scarce_room_is_shown_to_the_entry_with_the_most_urgent_task_alone() -> None:
     worker = full_worker(("e0", "e1"))
     need = Resources(1000, 10)
-    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
+    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [ResourceRequest(need, 300)]))
+    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [ResourceRequest(need, 100)]))
     assert shown(worker, "e1", 1.011) == [1000]
     assert shown(worker, "e0", 1.012) == [0]
 
@@ -217,8 +217,8 @@
 def test_room_that_an_entry_leaves_unused_is_shown_to_the_next() -> None:
     worker = full_worker(("e0", "e1"))
     need = Resources(1000, 10)
-    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
+    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [ResourceRequest(need, 300)]))
+    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [ResourceRequest(need, 100)]))
     shown(worker, "e1", 1.011)
     assert worker.prepare_frames(1.012) is not None
     assert shown(worker, "e0", 1.012 + OFFER_SECONDS)[-1] == 1000
@@ -227,7 +227,7 @@
 def test_plenty_of_room_is_shown_to_all() -> None:
     worker = working()
     worker.opened(1.0, Hello("e1", "life", True, "hall", "", 1, 0), 1.0)
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(Resources(1000, 10), 100)]))
+    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [ResourceRequest(Resources(1000, 10), 100)]))
     assert shown(worker, "e", 1.2) == [7000]
     assert shown(worker, "e1", 1.4) == [7000]
 
@@ -235,10 +235,10 @@
 def test_room_that_an_entry_declines_is_shown_to_the_next_at_once() -> None:
     worker = full_worker(("e0", "e1"))
     need = Resources(1000, 10)
-    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
-    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
+    worker.heard(1.01, "e0", Frame(2, 0, 1010, 1010, [ResourceRequest(need, 300)]))
+    worker.heard(1.01, "e1", Frame(1, 0, 1010, 1010, [ResourceRequest(need, 100)]))
     shown(worker, "e1", 1.011)
-    worker.heard(1.012, "e1", Frame(2, 0, 1012, 1012, [Decline()]))
+    worker.heard(1.012, "e1", Frame(2, 0, 1012, 1012, [DeclineOffer()]))
     assert shown(worker, "e0", 1.012)[-1] == 1000
 
 
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -26,7 +26,7 @@
 from paddleshunt_core.leased.outcomes import Failed, HandOn, JobOutcome
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_core.leased.wire import Frame, Hello, SpeedNews, TaskId
+from paddleshunt_core.leased.wire import Frame, Hello, SpeedUpdate, TaskId
 from paddleshunt_core.leased.worker import Worker
 
 STEP = 0.01
@@ -500,7 +500,7 @@
                 if other != name and theirs.moves:
                     self._hear_speeds(other, news, name)
 
-    def _hear_speeds(self, name: str, news: SpeedNews | None, source: str) -> None:
+    def _hear_speeds(self, name: str, news: SpeedUpdate | None, source: str) -> None:
         if news is not None:
             dispatcher = self.dispatchers[name]
             self._act_entry(name, dispatcher.told_speeds(self.now, news, source))
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -14,7 +14,7 @@
 from paddleshunt_core.leased.speeds import Speeds
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import (
-    CatalogNews,
+    CatalogUpdate,
     CatalogVersion,
     Entries,
     EntryAddress,
@@ -24,14 +24,14 @@
     Hello,
     KindSpeed,
     LossId,
-    LossNews,
+    LossUpdate,
     PackedCatalog,
     RunnerLost,
     RunnerReport,
     RunnerReturned,
     RunnerSilent,
     RunnerState,
-    SpeedNews,
+    SpeedUpdate,
     TaskId,
 )
 from paddleshunt_node.aio import entrypeers
@@ -59,8 +59,8 @@
         self.targets: list[tuple[int, str]] = []
         self.losses = [LOST]
         self.speeds = Speeds()
-        self.told_kinds: list[tuple[SpeedNews, str]] = []
-        self.heard: list[tuple[LossNews, str]] = []
+        self.told_kinds: list[tuple[SpeedUpdate, str]] = []
+        self.heard: list[tuple[LossUpdate, str]] = []
         self.refused: list[Refusal] = []
         self.adopted: list[tuple[Catalog, str]] = []
         self.asked: list[str] = []
@@ -93,10 +93,10 @@
     def told_targets(self, targets: int, source: str) -> None:
         self.targets.append((targets, source))
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def told_loss(self, news: LossUpdate, source: str) -> None:
         self.heard.append((news, source))
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def told_speeds(self, news: SpeedUpdate, source: str) -> None:
         self.told_kinds.append((news, source))
 
     def tell_targets(self, changes: EntryChanges) -> None:
@@ -245,7 +245,7 @@
             peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [CatalogVersion(6)]))
         await asyncio.sleep(ROUND)
         bodies = [body for link in links for frame in link.frames for body in frame.bodies]
-        assert not [body for body in bodies if isinstance(body, CatalogNews)]
+        assert not [body for body in bodies if isinstance(body, CatalogUpdate)]
         assert bodies.count(CatalogVersion(7)) == len(links)
 
     play(monkeypatch, links, scene)
@@ -297,7 +297,7 @@
     catalog = Catalog(7, [], [])
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        for body in (pack(catalog), CatalogNews(catalog), PackedCatalog(8, b"odd")):
+        for body in (pack(catalog), CatalogUpdate(catalog), PackedCatalog(8, b"odd")):
             peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [body]))
         assert owner.adopted == [(catalog, "e7")] * 2
         assert [refusal.kind for refusal in owner.refused] == [InputKind.CONFIGURATION]
@@ -312,7 +312,7 @@
 
 @pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_a_word_on_a_lost_runner_goes_to_all_other_entries(
-    monkeypatch: pytest.MonkeyPatch, news: LossNews
+    monkeypatch: pytest.MonkeyPatch, news: LossUpdate
 ) -> None:
     links = [Link(), Link()]
 
@@ -337,7 +337,7 @@
 
 @pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_another_entrys_word_on_a_lost_runner_is_followed(
-    monkeypatch: pytest.MonkeyPatch, news: LossNews
+    monkeypatch: pytest.MonkeyPatch, news: LossUpdate
 ) -> None:
     link = Link()
     link.peer = "e7"
@@ -349,7 +349,7 @@
     play(monkeypatch, [], scene)
 
 
-KINDS = SpeedNews([KindSpeed("svc", "b", 1700, 120)])
+KINDS = SpeedUpdate([KindSpeed("svc", "b", 1700, 120)])
 
 
 def learned(speeds: Speeds) -> None:
@@ -390,7 +390,7 @@
         task.cancel()
 
     play(monkeypatch, links, scene)
-    told = [body for frame in links[0].frames for body in frame.bodies if type(body) is SpeedNews]
+    told = [body for frame in links[0].frames for body in frame.bodies if type(body) is SpeedUpdate]
     assert len(told) == 1
 
 
