--- a/packages/paddleshunt-core/src/paddleshunt_core/divider.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/divider.py
@@ -46,7 +46,7 @@
         if known is not None and allotment.revision <= known.revision:
             return False
         self._allotments[key] = allotment
-        self._members.touched.add(key)
+        self._members.stale_allotments.add(key)
         return True
 
     def tick(self, now: float, rank: int) -> list[Effect]:
@@ -58,8 +58,8 @@
         if now < self._next_look or not self._members.hosts_known:
             return []
         self._next_look = now + DIVIDE_SECONDS
-        due = self._members.touched | self._due_since.keys()
-        self._members.touched.clear()
+        due = self._members.stale_allotments | self._due_since.keys()
+        self._members.stale_allotments.clear()
         rows = [self._table.row(*key) for key in sorted(due)]
         effects: list[Effect] = []
         for row in rows:
--- a/packages/paddleshunt-core/src/paddleshunt_core/entry.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/entry.py
@@ -163,7 +163,7 @@
 
     def hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
         """Take the platform's list of hosts."""
-        if not self.members.listed(now, hosts):
+        if not self.members.update_hosts(now, hosts):
             return []
         return self._tell_targets(now)
 
@@ -266,13 +266,13 @@
         self.members.heartbeat_seconds = max(least, direct / HEARTBEATS_PER_SECOND)
         self._next_exchange = now + self.members.heartbeat_seconds * EXCHANGE_EVERY
         effects: list[Effect] = []
-        changed = {member.service for member in self.members.newly_suspect(now)}
+        changed = {member.service for member in self.members.suspicion_changes(now)}
         for service in sorted(changed):
             effects += self._tell_targets(now, service)
         return effects + self._tell_entries(now)
 
     def _heartbeat(self, now: float, sender: Incarnation, body: Heartbeat) -> list[Effect]:
-        if self.members.heard(now, sender, body, 0.0):
+        if self.members.record_heartbeat(now, sender, body, 0.0):
             return [*self._tell_targets(now, body.service), *self._tell_entries(now)]
         member = self.members.find(sender)
         return [self._view(now, member)] if member else []
@@ -286,7 +286,7 @@
         peer.address = address
         peer.heard = now
         peer.table_revision = body.table_revision
-        self.members.heard_entry(now, sender.host)
+        self.members.record_entry(now, sender.host)
         effects: list[Effect] = []
         if body.table:
             document = msgspec.json.decode(body.table, type=TableDocument)
@@ -303,7 +303,7 @@
         for incarnation in body.ended:
             urgent |= self.members.end(incarnation)
         for news in body.members:
-            urgent |= self.members.heard(
+            urgent |= self.members.record_heartbeat(
                 now,
                 news.incarnation,
                 news.heartbeat,
@@ -319,7 +319,9 @@
         return [*self._tell_targets(now), *self._tell_entries(now)]
 
     def _table_adopted(self, now: float) -> list[Effect]:
-        self.members.touched.update((row.service, row.site) for row in self.table.document.rows)
+        self.members.stale_allotments.update(
+            (row.service, row.site) for row in self.table.document.rows
+        )
         log = Log("table_adopted", fields={"revision": self.table.revision})
         told = [
             self._exchange_to(now, host, peer.address, full=True)
@@ -352,7 +354,7 @@
     def _news(self, now: float, peer: _Peer | None, *, full: bool) -> list[MemberUpdate]:
         """Return news of targets heard here: all changes, and some of the others in turn."""
         if full or peer is None:
-            return [self.members.news(member, now) for member in self.members.all()]
+            return [self.members.member_update(member, now) for member in self.members.all()]
         direct = self.members.direct()
         changed = [member for member in direct if member.changed >= peer.told]
         rest = [member for member in direct if member.changed < peer.told]
@@ -361,7 +363,7 @@
         in_turn = [rest[(start + n) % len(rest)] for n in range(room)]
         peer.turn = start + room
         peer.told = now
-        return [self.members.news(member, now) for member in (*changed, *in_turn)]
+        return [self.members.member_update(member, now) for member in (*changed, *in_turn)]
 
     def _tell_targets(self, now: float, service: str | None = None) -> list[Effect]:
         """Send views to the targets that are heard here, of one service or of all."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/home.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/home.py
@@ -100,7 +100,7 @@
         answer = self._records.find(name, message.digest)
         if answer is not None:
             return [Send(entry, address, answer)]
-        refusal = self._ids.judge(now, name)
+        refusal = self._ids.rejection(now, name)
         if refusal is not None:
             return [Send(entry, address, Answer(name, message.digest, refusal, message.repeatable))]
         return self._accept(now, entry, address, message)
@@ -115,7 +115,7 @@
         answer = self._records.find(name, message.digest)
         if answer is not None:
             return [Send(entry, address, answer)]
-        refusal = self._ids.judge(now, name)
+        refusal = self._ids.rejection(now, name)
         body: Body = (
             Absent(name, message.digest)
             if refusal is None
--- a/packages/paddleshunt-core/src/paddleshunt_core/idwindow.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/idwindow.py
@@ -23,7 +23,7 @@
     window: float
     skew: float
 
-    def judge(self, now: float, name: str) -> Outcome | None:
+    def rejection(self, now: float, name: str) -> Outcome | None:
         """Return why an id without a record can't be accepted now, or None if it can."""
         parsed = parse_id(name)
         if isinstance(parsed, InvalidId) or parsed.home != self.home:
--- a/packages/paddleshunt-core/src/paddleshunt_core/links.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/links.py
@@ -11,7 +11,7 @@
 FULL_SECONDS = 1.0
 """Seconds after a refusal for which a home waits for the gate to say that it has room."""
 
-MUTE_SECONDS = 0.3
+UNRESPONSIVE_SECONDS = 0.3
 """Seconds without an answer to an inquiry after which a gate gets no new work."""
 
 LOAD_MEMORY = 0.5
@@ -52,7 +52,7 @@
     asked_at: float | None = None
     """When the first inquiry was sent since the gate's last report."""
     gap: bool = False
-    mine_in_load: int = 0
+    own_in_load: int = 0
     last_sent: float = 0.0
     seen_seq: int = 0
     """Highest number of this home's messages that the gate has said it has seen."""
@@ -73,16 +73,16 @@
 
     def is_usable(self, now: float) -> bool:
         """Whether new work may go there."""
-        return not (self.suspect or self.leaving or self.is_mute(now))
+        return not (self.suspect or self.leaving or self.is_unresponsive(now))
 
-    def is_mute(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Whether the gate owes an answer for longer than a living one would take."""
-        return self.asked_at is not None and now - self.asked_at > MUTE_SECONDS
+        return self.asked_at is not None and now - self.asked_at > UNRESPONSIVE_SECONDS
 
     @property
-    def others(self) -> int:
+    def other_tasks(self) -> int:
         """Tasks of other homes in the last reported load."""
-        return max(0, self.load.running + self.load.queued - self.mine_in_load)
+        return max(0, self.load.running + self.load.queued - self.own_in_load)
 
     def age(self, now: float) -> float:
         """Return how old the reported load is: 0 when fresh, 1 when it tells nothing."""
@@ -97,7 +97,7 @@
         self.load = load
         self.load_at = now
         self.clock_ahead = clock_ms / 1000 - now
-        self.mine_in_load = len(self.outstanding)
+        self.own_in_load = len(self.outstanding)
 
     def take_room(self, now: float, report: Report, pipeline: int) -> None:
         """Note a report's load, once its results and refusals have been taken.
@@ -105,7 +105,7 @@
         Tasks sent after what the gate had seen are not in that load.
         """
         self.take_load(now, report.load, report.clock_ms)
-        self.mine_in_load = sum(out.seq <= report.seen_seq for out in self.outstanding.values())
+        self.own_in_load = sum(out.seq <= report.seen_seq for out in self.outstanding.values())
         if report.load.running + report.load.queued < report.load.slots + pipeline:
             self.full_until = 0.0
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/members.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/members.py
@@ -58,9 +58,9 @@
 class Member:
     """A target's newest incarnation, with its last heartbeat and when it was sent (seconds).
 
-    `via` is the entry that heard it, empty if this one did; `told_suspect` is that entry's word.
-    What this entry hears itself, it has from no other while it lasts.
-    `changed` is when something other than its load changed.
+    `via` is the entry that relayed the heartbeat, empty if it came directly; `reported_suspect` is
+    that entry's verdict. Relayed heartbeats are ignored while direct ones arrive. `changed` is when
+    something other than the load changed.
     """
 
     incarnation: Incarnation
@@ -68,7 +68,7 @@
     sent: float
     changed: float
     via: str = ""
-    told_suspect: bool = False
+    reported_suspect: bool = False
     was_suspect: bool = False
     listed: HostState | None = None
 
@@ -104,7 +104,7 @@
     def __init__(self, heartbeat_seconds: float) -> None:
         self.heartbeat_seconds = heartbeat_seconds
         self.hosts_known = False
-        self.touched: set[tuple[str, str]] = set()
+        self.stale_allotments: set[tuple[str, str]] = set()
         """Service and site of members whose allotment may have to change; the owner empties it."""
         self._members: dict[str, Member] = {}
         self._services: dict[str, dict[str, Member]] = {}
@@ -152,13 +152,13 @@
         if not member.via:
             return now - member.sent > limit
         heard = max(member.sent, self._entries_heard.get(member.via, 0.0))
-        return member.told_suspect or now - heard > limit
+        return member.reported_suspect or now - heard > limit
 
     def is_usable(self, member: Member, now: float) -> bool:
         """Whether new work may go to the member."""
         return not member.leaving and not self.is_suspect(member, now)
 
-    def heard(
+    def record_heartbeat(
         self,
         now: float,
         incarnation: Incarnation,
@@ -185,11 +185,11 @@
         self._add(member)
         return True
 
-    def heard_entry(self, now: float, host: str) -> None:
+    def record_entry(self, now: float, host: str) -> None:
         """Note that another entry is there, so that its word on its targets still counts."""
         self._entries_heard[host] = now
 
-    def listed(self, now: float, hosts: Iterable[Host]) -> bool:
+    def update_hosts(self, now: float, hosts: Iterable[Host]) -> bool:
         """Take the platform's list; return whether a host newly leaves or is gone."""
         self.hosts_known = True
         self._hosts = {host.host: host for host in hosts}
@@ -222,7 +222,7 @@
         hosts = self._hosts.values()
         return [h for h in hosts if h.role is role and h.state is not HostState.GONE]
 
-    def newly_suspect(self, now: float) -> list[Member]:
+    def suspicion_changes(self, now: float) -> list[Member]:
         """Return members that became suspected, or ceased to be, since the last call."""
         found: list[Member] = []
         for member in self._members.values():
@@ -233,7 +233,7 @@
                 found.append(member)
         return found
 
-    def news(self, member: Member, now: float) -> MemberUpdate:
+    def member_update(self, member: Member, now: float) -> MemberUpdate:
         """Return what another entry should know of a member."""
         age_ms = int((now - member.sent) * 1000)
         suspect = self.is_suspect(member, now)
@@ -271,7 +271,7 @@
         known.heartbeat = heartbeat
         known.sent = max(sent, known.sent)
         known.via = via
-        known.told_suspect = suspect
+        known.reported_suspect = suspect
         return urgent
 
     def _add(self, member: Member) -> None:
@@ -288,11 +288,11 @@
 
     def _count(self, member: Member) -> None:
         self._versions[member.service] = self._versions.get(member.service, 0) + 1
-        self.touched.add((member.service, member.site))
+        self.stale_allotments.add((member.service, member.site))
 
     def _touch(self, now: float, member: Member) -> None:
         member.changed = now
-        self.touched.add((member.service, member.site))
+        self.stale_allotments.add((member.service, member.site))
 
 
 def _urgent(heartbeat: Heartbeat) -> tuple[bool, int]:
--- a/packages/paddleshunt-core/src/paddleshunt_core/messages.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/messages.py
@@ -242,7 +242,7 @@
     table_revision: int
     heartbeat_ms: int
     share: Share | None
-    whole: ServiceSnapshot | None
+    snapshot: ServiceSnapshot | None
     ended: list[Incarnation]
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/placement.py
@@ -51,14 +51,14 @@
     def note(self, link: Link) -> None:
         """Learn from a target's fresh load how busy others usually keep the targets."""
         if link.load.slots:
-            found = link.others / link.load.slots
+            found = link.other_tasks / link.load.slots
             self._usual += USUAL_STEP * (found - self._usual)
 
     def busy(self, link: Link, now: float) -> float:
         """Estimate the tasks at a target; the older its report, the more it counts as usual."""
         age = link.age(now)
-        others = link.others * (1.0 - age) + self._usual * link.load.slots * age
-        return len(link.outstanding) + others
+        other_tasks = link.other_tasks * (1.0 - age) + self._usual * link.load.slots * age
+        return len(link.outstanding) + other_tasks
 
     def plan(self, links: Iterable[Link], now: float, closed: set[str]) -> "Plan":
         """Return a plan for the tasks to be placed now.
--- a/packages/paddleshunt-core/src/paddleshunt_core/target.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/target.py
@@ -186,9 +186,9 @@
         effects: list[Effect] = []
         for incarnation in view.ended:
             effects += self._ended(now, incarnation)
-        if view.whole is not None:
+        if view.snapshot is not None:
             self._view_digest = view.digest
-            effects += self._take_picture(now, view.whole, view.table_revision)
+            effects += self._take_picture(now, view.snapshot, view.table_revision)
         elif view.digest == self._view_digest:
             effects += self._adopt_table(view.table_revision, self._rows)
         if view.share is not None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/views.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/views.py
@@ -56,7 +56,7 @@
             table_revision=self._table.revision,
             heartbeat_ms=int(self._members.heartbeat_seconds * 1000),
             share=share_of(allotment, member.incarnation) if allotment else None,
-            whole=picture if whole else None,
+            snapshot=picture if whole else None,
             ended=self._members.ended[-ENDED_TOLD:] if whole else [],
         )
         return Send(member.incarnation, member.heartbeat.address, view)
--- a/testing/core/test_idwindow.py
+++ b/testing/core/test_idwindow.py
@@ -24,7 +24,7 @@
 )
 def test_time_decides(now: float, judged: type) -> None:
     name = mint(HOME, round(MINTED * 1000), Random(1))
-    assert isinstance(WINDOW.judge(now, name), judged)
+    assert isinstance(WINDOW.rejection(now, name), judged)
 
 
 @pytest.mark.parametrize(
@@ -33,10 +33,10 @@
     ids=["another incarnation", "unreadable"],
 )
 def test_an_id_of_another_home_is_not_accepted(name: str) -> None:
-    assert isinstance(WINDOW.judge(MINTED, name), NotAccepted)
+    assert isinstance(WINDOW.rejection(MINTED, name), NotAccepted)
 
 
 def test_an_id_is_remembered_for_as_long_as_it_could_be_accepted() -> None:
     name = mint(HOME, round(MINTED * 1000), Random(1))
     forgotten = WINDOW.forget_at(MINTED, name)
-    assert isinstance(WINDOW.judge(forgotten, name), Unknown)
+    assert isinstance(WINDOW.rejection(forgotten, name), Unknown)
--- a/testing/core/test_members.py
+++ b/testing/core/test_members.py
@@ -17,7 +17,7 @@
 @pytest.fixture
 def members() -> Members:
     members = Members(heartbeat_seconds=1.0)
-    members.heard(10.0, OLD, heartbeat(), 0.0)
+    members.record_heartbeat(10.0, OLD, heartbeat(), 0.0)
     return members
 
 
@@ -30,36 +30,36 @@
 
 
 def test_newer_incarnation_ends_the_older(members: Members) -> None:
-    assert members.heard(11.0, NEW, heartbeat(), 0.0)
+    assert members.record_heartbeat(11.0, NEW, heartbeat(), 0.0)
     assert members.has_ended(OLD)
-    assert not members.heard(12.0, OLD, heartbeat(), 0.0)
+    assert not members.record_heartbeat(12.0, OLD, heartbeat(), 0.0)
     assert members.find(NEW) is not None
 
 
 def test_late_heartbeat_does_not_undo_a_newer_one(members: Members) -> None:
-    members.heard(12.0, OLD, heartbeat(leaving=True), 0.0)
-    members.heard(12.1, OLD, heartbeat(), 1.0)
+    members.record_heartbeat(12.0, OLD, heartbeat(leaving=True), 0.0)
+    members.record_heartbeat(12.1, OLD, heartbeat(), 1.0)
     member = members.find(OLD)
     assert member is not None
     assert member.leaving
 
 
 def test_farewell_ends_the_incarnation(members: Members) -> None:
-    assert members.heard(11.0, OLD, heartbeat(ended=True), 0.0)
+    assert members.record_heartbeat(11.0, OLD, heartbeat(ended=True), 0.0)
     assert members.has_ended(OLD)
 
 
 def test_list_says_leaving_then_gone(members: Members) -> None:
-    assert members.listed(10.5, [host(HostState.LEAVING)])
+    assert members.update_hosts(10.5, [host(HostState.LEAVING)])
     member = members.find(OLD)
     assert member is not None
     assert member.leaving
-    assert members.listed(10.5, [host(HostState.GONE)])
+    assert members.update_hosts(10.5, [host(HostState.GONE)])
     assert members.has_ended(OLD)
 
 
 def test_list_without_the_host_says_nothing(members: Members) -> None:
-    members.listed(10.5, [])
+    members.update_hosts(10.5, [])
     assert members.find(OLD) is not None
 
 
--- a/testing/core/test_placement.py
+++ b/testing/core/test_placement.py
@@ -2,7 +2,7 @@
 
 import pytest
 from paddleshunt_core.ids import Incarnation
-from paddleshunt_core.links import FULL_SECONDS, MUTE_SECONDS, Link, Outstanding
+from paddleshunt_core.links import FULL_SECONDS, UNRESPONSIVE_SECONDS, Link, Outstanding
 from paddleshunt_core.messages import Load
 from paddleshunt_core.placement import PROBE_SECONDS, Placement
 
@@ -55,7 +55,7 @@
 
 def test_target_that_owes_an_answer_gets_nothing(placement: Placement) -> None:
     only = link("a")
-    only.asked_at = NOW - MUTE_SECONDS - 0.1
+    only.asked_at = NOW - UNRESPONSIVE_SECONDS - 0.1
     assert take(placement, [only], 1) == [None]
 
 
--- a/testing/core/test_routing.py
+++ b/testing/core/test_routing.py
@@ -13,7 +13,7 @@
 
 def add(members: Members, name: str, site: str, load: Load, *, leaving: bool = False) -> None:
     beat = Heartbeat(f"{name}:1", site, site, "results", leaving, False, 0, load, 1, 1)
-    members.heard(10.0, Incarnation(name, "1"), beat, 0.0)
+    members.record_heartbeat(10.0, Incarnation(name, "1"), beat, 0.0)
 
 
 @pytest.fixture
@@ -41,7 +41,7 @@
 def test_full_site_is_passed_over(members: Members, rng: Random) -> None:
     for number in range(3):
         add(members, f"hall-{number}", "hall", Load(slots=4, running=4))
-        members.heard(
+        members.record_heartbeat(
             10.5,
             Incarnation(f"hall-{number}", "1"),
             Heartbeat("", "hall", "hall", "results", False, False, 0, Load(4, 4), 1, 1),
--- a/testing/core/test_views.py
+++ b/testing/core/test_views.py
@@ -19,7 +19,7 @@
         order.shuffle(numbers)
     for number in numbers:
         site = "hall" if number % 2 else "depot"
-        members.heard(0.0, Incarnation(f"t{number:03d}", "1"), beat(site), 0.0)
+        members.record_heartbeat(0.0, Incarnation(f"t{number:03d}", "1"), beat(site), 0.0)
     member = members.find(Incarnation("t001", "1"))
     assert member is not None
     return member
@@ -40,9 +40,9 @@
     views = Views(members, TableController())
     member = fill(members, 4)
     first = view_of(views, member)
-    assert first.whole is not None
-    members.heard(0.5, member.incarnation, beat("hall", view=first.digest), 0.0)
-    assert view_of(views, member).whole is None
+    assert first.snapshot is not None
+    members.record_heartbeat(0.5, member.incarnation, beat("hall", view=first.digest), 0.0)
+    assert view_of(views, member).snapshot is None
 
 
 @pytest.mark.parametrize(
@@ -58,9 +58,9 @@
     views = Views(members, TableController())
     member = fill(members, 4)
     digest = view_of(views, member).digest
-    members.heard(0.5, member.incarnation, beat("hall", view=digest), 0.0)
-    members.heard(0.6, Incarnation("t000", "1"), change, 0.0)
-    assert (view_of(views, member).whole is not None) is whole
+    members.record_heartbeat(0.5, member.incarnation, beat("hall", view=digest), 0.0)
+    members.record_heartbeat(0.6, Incarnation("t000", "1"), change, 0.0)
+    assert (view_of(views, member).snapshot is not None) is whole
 
 
 def test_table_of_another_service_is_told_as_a_number(members: Members) -> None:
@@ -68,10 +68,10 @@
     views = Views(members, table)
     member = fill(members, 2)
     digest = view_of(views, member).digest
-    members.heard(0.5, member.incarnation, beat("hall", view=digest), 0.0)
+    members.record_heartbeat(0.5, member.incarnation, beat("hall", view=digest), 0.0)
     table.adopt(revise(EMPTY_TABLE, [Row("other", "hall", 1, 1, 1)], "edit"))
     view = view_of(views, member)
-    assert view.whole is None
+    assert view.snapshot is None
     assert view.table_revision == 1
 
 
@@ -84,8 +84,8 @@
 
 def test_subset_is_bounded_and_has_the_target_itself(members: Members) -> None:
     view = view_of(Views(members, TableController()), fill(members, 200))
-    assert view.whole is not None
-    peers = view.whole.peers
+    assert view.snapshot is not None
+    peers = view.snapshot.peers
     assert len([peer for peer in peers if peer.site == "hall"]) == PEERS_NEAR
     assert len([peer for peer in peers if peer.site == "depot"]) == PEERS_FAR
     assert "t001" in [peer.incarnation.host for peer in peers]
