--- a/packages/paddleshunt-core/src/paddleshunt_core/entry.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/entry.py
@@ -27,7 +27,7 @@
     Running,
     Submit,
 )
-from paddleshunt_core.outcomes import NotAccepted, Outcome, Unknown, kind_of_outcome
+from paddleshunt_core.outcomes import NotAccepted, Outcome, Unknown, outcome_tag
 from paddleshunt_core.routing import NoHome, Router
 from paddleshunt_core.table import TableController, TableDocument
 from paddleshunt_core.views import ENDED_TOLD, Views
@@ -244,7 +244,7 @@
     def _answered(self, body: Answer) -> list[Effect]:
         service = self.calls.service_of(body)
         if service:
-            self._tally(service).answers[kind_of_outcome(body.outcome)] += 1
+            self._tally(service).answers[outcome_tag(body.outcome)] += 1
         return self.calls.answered(body)
 
     def _home_of(self, submission: str) -> Member | Outcome:
--- a/packages/paddleshunt-core/src/paddleshunt_core/home.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/home.py
@@ -36,10 +36,10 @@
     NotAccepted,
     NotRun,
     Outcome,
-    kind_of_outcome,
+    outcome_tag,
 )
 from paddleshunt_core.placement import Placement, Plan
-from paddleshunt_core.records import Records, conflict
+from paddleshunt_core.records import Records, conflict_answer
 from paddleshunt_core.waste import Waste
 
 HOLD_MARGIN = 0.25
@@ -135,7 +135,7 @@
             link.suspect = peer.suspect
             link.leaving = peer.leaving or link.leaving
             if now - link.load_at > REPORT_FRESH or peer.load.slots != link.load.slots:
-                link.take_load(now, peer.load, peer.clock_ms)
+                link.update_load(now, peer.load, peer.clock_ms)
                 self._placement.note(link)
         for incarnation, link in list(self._links.items()):
             if incarnation not in named and not link.outstanding:
@@ -159,7 +159,7 @@
     def report(self, now: float, gate: Incarnation, message: Report) -> list[Effect]:
         """Take what a gate says of this home's tasks."""
         link = self._links.get(gate)
-        if link is None or not link.take_report(message):
+        if link is None or not link.accept_report(message):
             self._waste.repeated += 1
             return []
         touched: dict[str, Job] = {}
@@ -171,7 +171,7 @@
         for refs in message.running:
             for index in refs.indexes:
                 self._take_started(link, (refs.submission, index), touched)
-        link.take_room(now, message, self._placement.pipeline)
+        link.update_load_from(now, message, self._placement.pipeline)
         self._placement.note(link)
         if message.refused and not message.answers:
             link.full_until = now + FULL_SECONDS
@@ -232,7 +232,7 @@
 
     def _attach(self, job: Job, entry: Incarnation, address: str, message: Submit) -> Body:
         if job.digest != message.digest:
-            return conflict(job.submission, message.digest)
+            return conflict_answer(job.submission, message.digest)
         job.waiters[entry] = address
         return Running(job.submission, job.digest)
 
@@ -390,7 +390,7 @@
         del self._jobs[job.submission]
         answer = Answer(job.submission, job.digest, outcome, job.repeatable)
         self._records.close(answer, self._ids.forget_at(now, job.submission))
-        kind = kind_of_outcome(outcome)
+        kind = outcome_tag(outcome)
         results = len(outcome.results) if isinstance(outcome, Complete) else 0
         effects: list[Effect] = [
             Send(entry, address, answer) for entry, address in job.waiters.items()
--- a/packages/paddleshunt-core/src/paddleshunt_core/links.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/links.py
@@ -92,24 +92,24 @@
         """Estimate the gate's clock."""
         return int((now + self.clock_ahead) * 1000)
 
-    def take_load(self, now: float, load: Load, clock_ms: int) -> None:
+    def update_load(self, now: float, load: Load, clock_ms: int) -> None:
         """Note what the gate, or an entry on its behalf, says of its load and clock."""
         self.load = load
         self.load_at = now
         self.clock_ahead = clock_ms / 1000 - now
         self.own_in_load = len(self.outstanding)
 
-    def take_room(self, now: float, report: Report, pipeline: int) -> None:
+    def update_load_from(self, now: float, report: Report, pipeline: int) -> None:
         """Note a report's load, once its results and refusals have been taken.
 
         Tasks sent after what the gate had seen are not in that load.
         """
-        self.take_load(now, report.load, report.clock_ms)
+        self.update_load(now, report.load, report.clock_ms)
         self.own_in_load = sum(out.seq <= report.seen_seq for out in self.outstanding.values())
         if report.load.running + report.load.queued < report.load.slots + pipeline:
             self.full_until = 0.0
 
-    def take_report(self, report: Report) -> bool:
+    def accept_report(self, report: Report) -> bool:
         """Note a report's number; return False if it is late or repeated."""
         if report.number <= self.last_report:
             return False
--- a/packages/paddleshunt-core/src/paddleshunt_core/messages.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/messages.py
@@ -309,7 +309,7 @@
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
 
-def kind_of(body: Body) -> str:
+def body_tag(body: Body) -> str:
     """Return the body's tag, as used in metrics and logs."""
     return str(body.__struct_config__.tag)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/outcomes.py
@@ -9,7 +9,7 @@
 import msgspec
 
 
-class Safe(StrEnum):
+class RetryAdvice(StrEnum):
     """How a caller may ask again without risking a second run."""
 
     SAME_ID = "same_id"
@@ -72,22 +72,22 @@
 Outcome = Complete | Failed | NotRun | NotAccepted | Unknown | Conflict
 
 
-def kind_of_outcome(outcome: Outcome) -> str:
+def outcome_tag(outcome: Outcome) -> str:
     """Return the outcome's tag, as used in answers, metrics and logs."""
     return str(outcome.__struct_config__.tag)
 
 
-def safe_to_ask(outcome: Outcome, *, repeatable: bool) -> Safe:
+def retry_advice(outcome: Outcome, *, repeatable: bool) -> RetryAdvice:
     """Return how a caller may ask again after `outcome`.
 
     `repeatable` is what the caller said of its tasks; it changes only this advice.
     """
     match outcome:
         case Complete():
-            return Safe.SAME_ID
+            return RetryAdvice.SAME_ID
         case NotRun():
-            return Safe.NEW_ID
+            return RetryAdvice.NEW_ID
         case NotAccepted() | Conflict():
-            return Safe.SAME_ID
+            return RetryAdvice.SAME_ID
         case Failed() | Unknown():
-            return Safe.EITHER if repeatable else Safe.SAME_ID
+            return RetryAdvice.EITHER if repeatable else RetryAdvice.SAME_ID
--- a/packages/paddleshunt-core/src/paddleshunt_core/records.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/records.py
@@ -55,7 +55,7 @@
         if record is None:
             return None
         if digest not in (b"", record.digest):
-            return conflict(submission, digest)
+            return conflict_answer(submission, digest)
         outcome = record.outcome or Unknown("it ran; its answer is no longer kept")
         return Answer(submission, digest or record.digest, outcome, record.repeatable)
 
@@ -74,6 +74,6 @@
                 record.outcome = None
 
 
-def conflict(submission: str, digest: bytes) -> Answer:
+def conflict_answer(submission: str, digest: bytes) -> Answer:
     """Return the answer for another body under a known id."""
     return Answer(submission, digest, Conflict("the id belongs to another body"))
--- a/packages/paddleshunt-node/src/paddleshunt_node/answers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/answers.py
@@ -16,8 +16,8 @@
     NotRun,
     Outcome,
     Unknown,
-    kind_of_outcome,
-    safe_to_ask,
+    outcome_tag,
+    retry_advice,
 )
 
 from paddleshunt_node.web import Response
@@ -52,8 +52,8 @@
 
 def _answer(answer: Answer) -> Response:
     outcome = answer.outcome
-    ask_again = safe_to_ask(outcome, repeatable=answer.repeatable).value
-    head = {"id": answer.submission, "outcome": kind_of_outcome(outcome), "ask_again": ask_again}
+    ask_again = retry_advice(outcome, repeatable=answer.repeatable).value
+    head = {"id": answer.submission, "outcome": outcome_tag(outcome), "ask_again": ask_again}
     headers = {ID_HEADER: answer.submission}
     if isinstance(outcome, NotRun | NotAccepted):
         headers["Retry-After"] = str(max(1, -(-outcome.retry_after_ms // 1000)))
--- a/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
@@ -17,7 +17,7 @@
 from paddleshunt_core.ids import Incarnation
 from paddleshunt_core.members import Host
 from paddleshunt_core.messages import Answer, Body, Envelope, Submit
-from paddleshunt_core.outcomes import NotAccepted, kind_of_outcome
+from paddleshunt_core.outcomes import NotAccepted, outcome_tag
 from paddleshunt_core.table import TableDocument
 from paddleshunt_platform.etcd import EtcdStore
 from paddleshunt_platform.hosts import HostList
@@ -211,7 +211,7 @@
             return error(HTTPStatus.GATEWAY_TIMEOUT, "no answer; ask again with the same id")
 
     def _answered(self, answer: Answer) -> Response:
-        kind = kind_of_outcome(answer.outcome)
+        kind = outcome_tag(answer.outcome)
         self._node.metrics.answered(kind)
         logs.event("replied", submission=answer.submission, outcome=kind)
         return answers.respond(answer)
--- a/packages/paddleshunt-node/src/paddleshunt_node/node.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/node.py
@@ -13,9 +13,9 @@
     BadMessage,
     Body,
     Envelope,
+    body_tag,
     decode,
     encode,
-    kind_of,
 )
 
 from paddleshunt_node import logs
@@ -98,7 +98,7 @@
             if isinstance(envelope, BadMessage):
                 logs.event("message_refused", reason=envelope.reason)
                 continue
-            self.metrics.received(kind_of(envelope.body), len(raw))
+            self.metrics.received(body_tag(envelope.body), len(raw))
             self._post_envelope(envelope)
 
     def _post_envelope(self, envelope: Envelope) -> None:
@@ -124,7 +124,7 @@
             return
         raw = encode(envelope)
         if self._peers.send(send.address, raw):
-            self.metrics.sent(kind_of(send.body), len(raw))
+            self.metrics.sent(body_tag(send.body), len(raw))
             return
         self._loop.post(lambda now: self._machine.undelivered(now, send.to, send.body))
 
--- a/testing/core/test_messages.py
+++ b/testing/core/test_messages.py
@@ -6,9 +6,9 @@
     BadMessage,
     Envelope,
     Query,
+    body_tag,
     decode,
     encode,
-    kind_of,
 )
 
 ME = Incarnation("a", "1")
@@ -17,7 +17,7 @@
 def test_message_comes_back_as_it_was() -> None:
     envelope = Envelope(PROTOCOL_VERSION, ME, "a:1", ME, Query("id"))
     assert decode(encode(envelope)) == envelope
-    assert kind_of(envelope.body) == "query"
+    assert body_tag(envelope.body) == "query"
 
 
 def test_another_protocol_version_is_refused() -> None:
--- a/testing/core/test_outcomes.py
+++ b/testing/core/test_outcomes.py
@@ -6,25 +6,27 @@
     NotAccepted,
     NotRun,
     Outcome,
-    Safe,
+    RetryAdvice,
     Unknown,
-    safe_to_ask,
+    retry_advice,
 )
 
 
 @pytest.mark.parametrize(
     ("outcome", "once", "again"),
     [
-        pytest.param(Complete([]), Safe.SAME_ID, Safe.SAME_ID, id="complete"),
-        pytest.param(NotRun("", 0), Safe.NEW_ID, Safe.NEW_ID, id="not_run"),
-        pytest.param(NotAccepted("", 0), Safe.SAME_ID, Safe.SAME_ID, id="not_accepted"),
-        pytest.param(Conflict(""), Safe.SAME_ID, Safe.SAME_ID, id="conflict"),
-        pytest.param(Failed("", [], [], []), Safe.SAME_ID, Safe.EITHER, id="failed"),
-        pytest.param(Unknown(""), Safe.SAME_ID, Safe.EITHER, id="unknown"),
+        pytest.param(Complete([]), RetryAdvice.SAME_ID, RetryAdvice.SAME_ID, id="complete"),
+        pytest.param(NotRun("", 0), RetryAdvice.NEW_ID, RetryAdvice.NEW_ID, id="not_run"),
+        pytest.param(
+            NotAccepted("", 0), RetryAdvice.SAME_ID, RetryAdvice.SAME_ID, id="not_accepted"
+        ),
+        pytest.param(Conflict(""), RetryAdvice.SAME_ID, RetryAdvice.SAME_ID, id="conflict"),
+        pytest.param(Failed("", [], [], []), RetryAdvice.SAME_ID, RetryAdvice.EITHER, id="failed"),
+        pytest.param(Unknown(""), RetryAdvice.SAME_ID, RetryAdvice.EITHER, id="unknown"),
     ],
 )
 def test_a_new_id_is_advised_only_where_nothing_can_run_twice(
-    outcome: Outcome, once: Safe, again: Safe
+    outcome: Outcome, once: RetryAdvice, again: RetryAdvice
 ) -> None:
-    assert safe_to_ask(outcome, repeatable=False) is once
-    assert safe_to_ask(outcome, repeatable=True) is again
+    assert retry_advice(outcome, repeatable=False) is once
+    assert retry_advice(outcome, repeatable=True) is again
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -38,11 +38,11 @@
     EntryInfo,
     Envelope,
     Submit,
+    body_tag,
     decode,
     encode,
-    kind_of,
 )
-from paddleshunt_core.outcomes import Complete, NotAccepted, kind_of_outcome
+from paddleshunt_core.outcomes import Complete, NotAccepted, outcome_tag
 from paddleshunt_core.table import Row, TableDocument
 from paddleshunt_core.target import Target, TargetSettings
 from paddleshunt_platform.store import (
@@ -434,7 +434,7 @@
                 case Reply(caller, Answer() as answer):
                     self._answer(self._callers[caller], answer)
                 case Reply(caller, body):
-                    self._callers[caller].answers.append(kind_of(body))
+                    self._callers[caller].answers.append(body_tag(body))
                     self._callers[caller].answered_at.append(self.now)
                 case WriteAllotment(allotment):
                     self.at(STORE_DELAY, lambda a=allotment: self._write(process, a))
@@ -446,7 +446,7 @@
                     pass
 
     def _send(self, process: Process, send: Send) -> None:
-        kind = kind_of(send.body)
+        kind = body_tag(send.body)
         self.sent[kind] += 1
         me = process.incarnation
         raw = encode(Envelope(PROTOCOL_VERSION, me, process.host, send.to, send.body))
@@ -530,7 +530,7 @@
 
     def _answer(self, job: Job, answer: Answer) -> None:
         outcome = answer.outcome
-        kind = kind_of_outcome(outcome)
+        kind = outcome_tag(outcome)
         job.answers.append(kind)
         job.answered_at.append(self.now)
         job.retry_after_ms = getattr(outcome, "retry_after_ms", 0)
