--- a/packages/paddleshunt-core/src/paddleshunt_core/inquiries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/inquiries.py
@@ -4,7 +4,7 @@
 from typing import final
 
 from paddleshunt_core.effects import Effect, Send
-from paddleshunt_core.links import Link, Outstanding, TaskKey, group
+from paddleshunt_core.links import Link, Outstanding, TaskKey, group_by_submission
 from paddleshunt_core.messages import Inquire
 from paddleshunt_core.waste import Waste
 
@@ -44,7 +44,7 @@
         number = self.next_number()
         if len(keys) == len(link.outstanding):
             link.inquiry = number
-        body = Inquire(number, link.stamp_ms(now), link.acked, revoke, group(keys))
+        body = Inquire(number, link.stamp_ms(now), link.acked, revoke, group_by_submission(keys))
         return Send(link.incarnation, link.address, body)
 
     def ask_slow(self, now: float, links: Iterable[Link]) -> list[Effect]:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -1,4 +1,4 @@
-"""What entries and targets say to one another about leased jobs.
+"""Messages between entries and targets about leased jobs.
 
 A connection opens with one `Hello` each way; after that it carries `Frame`s.
 """
@@ -16,7 +16,7 @@
 
 @final
 class TaskId(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A task of a job: the job's key, the number of its step and the task's index in it."""
+    """Id of a task: the job's key, the number of the step and the task's index in the step."""
 
     job: str
     step: int
@@ -28,7 +28,7 @@
 
 @final
 class RunId(msgspec.Struct, frozen=True, array_like=True):
-    """One start of a task; `number` rises with each."""
+    """Id of one start of a task; `number` increases with each start."""
 
     task: TaskId
     number: int
@@ -40,9 +40,9 @@
 class End(IntEnum):
     """How a run ended.
 
-    LOST: it ran or may have run, and can't any more. NOT_STARTED: it never ran. STALE: the runner
-    knows a later run of the task and refused this one. STUCK: stopped, as it made no progress.
-    NO_ROOM: it never ran, as others had taken the room that the entry knew of.
+    LOST: it ran or may have run, and is not running now. NOT_STARTED: it never ran. STALE: the
+    runner refused it, as it has a later run of the task. STUCK: stopped for lack of progress.
+    NO_ROOM: it never ran, as the capacity that the entry was offered had been taken by others.
     """
 
     DONE = 0
@@ -56,7 +56,7 @@
 
 
 class RunnerState(IntEnum):
-    """What a target may be given: READY; otherwise nothing. EVACUATED: its data hall is."""
+    """Whether a target accepts work: only READY does. EVACUATED: its data hall is evacuated."""
 
     READY = 0
     LEAVING = 1
@@ -65,7 +65,7 @@
 
 
 class Health(IntEnum):
-    """How far a runner is trusted. PROBATION: one task at a time. SICK: none."""
+    """How much work a runner is given. PROBATION: one task at a time. SICK: none."""
 
     GOOD = 0
     PROBATION = 1
@@ -73,15 +73,16 @@
 
 
 class _Body(msgspec.Struct, frozen=True, array_like=True):
-    """Base of what a frame carries."""
+    """Base of the message bodies in a frame."""
 
 
 @final
 class Assign(_Body, frozen=True, tag=1):
-    """Run tasks of one step of a job.
+    """Request to run tasks of one step of a job.
 
-    `estimate_ms` is a rough guess of a task's length; after `expires_ms` nobody waits for it.
-    `queue` is named again if the runner is lost.
+    `estimate_ms` is the estimated length of a task; `expires_ms` is the time after which no caller
+    waits for the result. `queue` is reported in `RunnerLost` if the runner is lost. `runs` holds
+    pairs of task index and run number.
     """
 
     job: str
@@ -96,16 +97,16 @@
 
 @final
 class Stop(_Body, frozen=True, tag=2):
-    """Stop the runs."""
+    """Request to stop runs."""
 
     runs: list[RunId]
 
 
 @final
 class ResourceRequest(_Body, frozen=True, tag=9):
-    """The most urgent task that waits for room at an entry, which must start in `within_ms`.
+    """Resources for the most urgent task waiting at an entry, which must start in `within_ms`.
 
-    It holds until the entry assigns the target something, or leaves an offer of room unused.
+    It is valid until the entry assigns the target something, or declines an offer.
     """
 
     need: Resources
@@ -114,12 +115,12 @@
 
 @final
 class DeclineOffer(_Body, frozen=True, tag=10):
-    """Leave the room that was offered to other entries: nothing waits that fits."""
+    """Declines the offered resources, as no waiting task fits; other entries may use them."""
 
 
 @final
 class Ended(_Body, frozen=True, tag=4):
-    """Runs that ended, and how."""
+    """Runs that ended, each with how it ended."""
 
     ends: list[tuple[RunId, End]]
 
@@ -128,9 +129,9 @@
 class RunnerReport(_Body, frozen=True, tag=5):
     """State of a runner.
 
-    `labels` say what kind of host the runner's is, and in which rack it stands; `kind` is the one
-    of them that is no rack, empty if none is. `cold_ms` is how much longer it stays slow after its
-    start; 0 once it is warm. `runner` and `born` name its life.
+    `labels` give the kind of the runner's host and its rack; `kind` is the label that is not a
+    rack, empty if there is none. `cold_ms` is how much longer the runner stays slow after its
+    start; 0 once it is warm. `runner` and `born` identify its incarnation.
     """
 
     service: str
@@ -146,7 +147,7 @@
 
     @property
     def incarnation(self) -> RunnerLife:
-        """The life of the runner that it is about."""
+        """The incarnation of the runner that the report is about."""
         return RunnerLife(self.runner, self.born)
 
 
@@ -154,8 +155,8 @@
 class EntryAddress(msgspec.Struct, frozen=True, array_like=True, order=True):
     """An entry's name and the host:port on which it listens for peers.
 
-    `life` is new at each start of the process; empty if the sender has not met the entry itself.
-    `hall` is the data hall it stands in; empty if it is not known.
+    `life` is new at each start of the process; empty if the sender has never connected to the
+    entry. `hall` is the entry's data hall; empty if unknown.
     """
 
     name: str
@@ -166,14 +167,14 @@
 
 @final
 class Entries(_Body, frozen=True, tag=6):
-    """The entries that the sender knows to be alive."""
+    """All entries that the sender believes to be alive."""
 
     entries: list[EntryAddress]
 
 
 @final
 class EntryChanges(_Body, frozen=True, tag=12):
-    """What changed since the sender told which entries live; `gone` holds names."""
+    """Changes to the sender's last list of live entries; `gone` holds names."""
 
     joined: list[EntryAddress]
     gone: list[str]
@@ -181,14 +182,14 @@
 
 @final
 class CatalogUpdate(_Body, frozen=True, tag=7):
-    """A configuration in force at the sender, as processes of the version before hand it on."""
+    """The sender's configuration, as sent by processes without support for `PackedCatalog`."""
 
     catalog: Catalog
 
 
 @final
 class CatalogVersion(_Body, frozen=True, tag=8):
-    """The version in force at the sender; 0 for none. `wanted`: it asks for a newer one."""
+    """The sender's configuration version, 0 for none. `wanted` requests a newer configuration."""
 
     version: int
     wanted: bool = False
@@ -196,7 +197,7 @@
 
 @final
 class PackedCatalog(_Body, frozen=True, tag=20):
-    """A configuration in force at the sender, packed; `version` is that of the content."""
+    """The sender's configuration, compressed; `version` is that of the content."""
 
     version: int
     content: bytes
@@ -204,16 +205,16 @@
 
 @final
 class EvacuationUpdate(_Body, frozen=True, tag=11):
-    """The data halls that the sender knows to be evacuated."""
+    """The data halls that are evacuated, as far as the sender knows."""
 
     evacuated: EvacuatedHalls
 
 
 @final
 class LossId(msgspec.Struct, frozen=True, array_like=True):
-    """A loss of a runner: since when it was silent by its target's steady clock, and its life.
+    """Id of a loss: the runner's incarnation and when it fell silent, by its target's steady clock.
 
-    `born` comes last, so that processes of the version before read the rest.
+    `born` comes last, so that processes without the field can decode the rest.
     """
 
     runner: str
@@ -222,24 +223,24 @@
 
     @property
     def incarnation(self) -> RunnerLife:
-        """The life of the runner that was lost."""
+        """The incarnation of the runner that was lost."""
         return RunnerLife(self.runner, self.born)
 
     @classmethod
     def of(cls, life: RunnerLife, silent_ms: int) -> "LossId":
-        """Return the loss of a life."""
+        """Return the id of the loss of an incarnation."""
         return cls(life.id, silent_ms, life.born)
 
 
 @final
 class RunnerLost(_Body, frozen=True, tag=13):
-    """A life of a runner that ended, or gave no answer until its lease was over, unannounced.
+    """An incarnation of a runner that ended unannounced, or was silent until its lease expired.
 
-    `tasks` were at work on it, each once; `queues` and `worked_ms` say in their order which queue
-    each is of, and for how many milliseconds it had run when the runner fell silent. Whoever hands
-    it on later says with `ago_ms` how long it has known. `ended` are those of the tasks that were
-    seen at work last on a life that is known to have ended since, as another one answers in its
-    place; while the life is only silent it is empty, and the same loss may be told again with it.
+    `tasks` were running on it, each listed once; `queues` and `worked_ms` hold, in the same order,
+    the queue of each and the milliseconds it had run when the silence began. An entry that forwards
+    the loss sets `ago_ms` to the time since it learned of it. `ended` lists the tasks that were
+    last seen running, once the incarnation is known to have ended because another one replaced it.
+    While it is only silent, `ended` is empty; the same loss may be sent again with it later.
     """
 
     loss: LossId
@@ -252,16 +253,16 @@
 
 @final
 class RunnerReturned(_Body, frozen=True, tag=14):
-    """A life of a runner that was silent or taken for lost answers again."""
+    """An incarnation of a runner that was silent or reported lost answers again."""
 
     loss: LossId
 
 
 @final
 class KindSpeed(msgspec.Struct, frozen=True, array_like=True):
-    """How slow a kind of host runs a service's tasks, against a usual host, in thousandths.
+    """Slowness of a kind of host for a service's tasks, relative to a usual host, in thousandths.
 
-    `ends` is how many ends of tasks the sender has seen there itself that still count.
+    `ends` is the weight of the estimate: the completed tasks that the sender observed itself.
     """
 
     service: str
@@ -272,24 +273,24 @@
 
 @final
 class SpeedUpdate(_Body, frozen=True, tag=17):
-    """What the sender has learned of how slow kinds of hosts are."""
+    """The sender's estimates of how slow kinds of hosts are."""
 
     kinds: list[KindSpeed]
 
 
 @final
 class SessionCount(_Body, frozen=True, tag=19):
-    """How many targets the sending entry has in session."""
+    """The number of targets with which the sending entry has a session."""
 
     count: int
 
 
 @final
 class RunnerSilent(_Body, frozen=True, tag=15):
-    """A life of a runner gives no answer; what is at work on it may go on.
+    """An incarnation of a runner does not answer; its tasks may still be running.
 
-    It shows early what may have taken the runner down; nothing counts as lost by it. `RunnerLost`
-    or `RunnerReturned` follows with the same loss.
+    It is an early hint at tasks that may have crashed the runner, and loses none of them.
+    `RunnerLost` or `RunnerReturned` follows with the same loss.
     """
 
     loss: LossId
@@ -319,16 +320,16 @@
 )
 
 LossUpdate = RunnerLost | RunnerReturned | RunnerSilent
-"""What targets and entries tell of a runner that may have been lost."""
+"""Messages about a runner that may have been lost."""
 
 
 @final
 class Hello(msgspec.Struct, frozen=True, array_like=True):
     """First message of a connection, each way.
 
-    `life` is new at each start of the process. A target's `session` is the one that it would go on
-    with, or 0 if nothing of an earlier one is left with it; an entry's is the one to use, or 0 if
-    it doesn't go on with the one named. `received` is the last body that the sender had in it.
+    `life` is new at each start of the process. In a target's message `session` is the session to
+    resume, or 0 if it has none; in an entry's answer it is the session to use, or 0 if the named
+    one can't be resumed. `received` is the number of the last body that the sender received in it.
     """
 
     name: str
@@ -342,10 +343,10 @@
 
 @final
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """Bodies numbered from `first`; `received` acknowledges the peer's.
+    """Bodies numbered from `first`; `received` acknowledges the peer's bodies.
 
-    `stamp_ms` is the sender's steady clock; `echo_ms` is the highest stamp that it had from the
-    peer, which so learns how fresh the sender's knowledge of it is.
+    `stamp_ms` is the sender's steady clock. `echo_ms` is the highest stamp received from the peer,
+    by which the peer can tell how old the sender's information about it is.
     """
 
     first: int
--- a/packages/paddleshunt-core/src/paddleshunt_core/links.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/links.py
@@ -127,7 +127,7 @@
         return True
 
 
-def group(keys: list[TaskKey]) -> list[TaskRefs]:
+def group_by_submission(keys: list[TaskKey]) -> list[TaskRefs]:
     """Return `keys` grouped by submission."""
     groups: dict[str, list[int]] = {}
     for submission, index in keys:
--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -274,9 +274,9 @@
     """A frame whose predecessors are missing renews the lease."""
 
     def accept(self: Session, frame: Frame, now_ms: int | None = None) -> list[Body]:
-        self._heard_stamp = max(self._heard_stamp, frame.stamp_ms)
+        self._peer_stamp = max(self._peer_stamp, frame.stamp_ms)
         self.confirmed_ms = max(self.confirmed_ms, frame.echo_ms)
-        self._acknowledged(frame.received)
+        self._record_acknowledgement(frame.received)
         skip = self.received + 1 - frame.first
         if skip < 0:
             return []
--- a/testing/core/leased/test_session.py
+++ b/testing/core/leased/test_session.py
@@ -1,4 +1,4 @@
-"""Sessions: in order, once, over several connections, and a lease."""
+"""Sessions deliver bodies in order and once, across reconnects, and carry a lease."""
 
 from paddleshunt_core.leased.session import Session, lower_quartile_echo_age
 from paddleshunt_core.leased.wire import Body, CatalogVersion, Frame
@@ -19,7 +19,7 @@
     assert two.accept(one.frame(20)) == [body(3)]
 
 
-def test_what_was_lost_with_a_connection_is_sent_again() -> None:
+def test_bodies_lost_with_a_connection_are_sent_again() -> None:
     one, two = Session(1, 0), Session(1, 0)
     one.send(body(1))
     two.accept(one.frame(10))
@@ -30,17 +30,17 @@
     assert two.accept(one.frame(30)) == [body(2), body(3)]
 
 
-def test_the_lease_counts_from_the_stamp_that_came_back() -> None:
+def test_the_lease_counts_from_the_echoed_stamp() -> None:
     target, entry = Session(1, 0), Session(1, 0)
-    held_up = target.frame(100)
-    entry.accept(held_up)
+    delayed = target.frame(100)
+    entry.accept(delayed)
     answer = entry.frame(5000)
     target.accept(answer)
     assert target.confirmed_ms == 100
 
 
-def test_a_session_that_has_just_opened_tells_nothing_of_echoes() -> None:
-    """Where echoes come late sessions end and open anew: those must not pass for fresh ones."""
+def test_sessions_without_an_echo_have_no_echo_age() -> None:
+    """Where echoes are late, sessions end and reopen often, and must not count as fresh."""
     echoed, opened = Session(1, 1000), Session(2, 2900)
     echoed.accept(Frame(1, 0, 5, 1500, []))
     assert opened.echo_age(3.0) is None
@@ -48,7 +48,7 @@
     assert lower_quartile_echo_age(3.0, [opened]) is None
 
 
-def test_an_echo_of_nothing_new_renews_nothing() -> None:
+def test_repeating_an_echo_renews_nothing() -> None:
     target, entry = Session(1, 0), Session(1, 0)
     entry.accept(target.frame(100))
     entry.frame(150)
@@ -57,7 +57,7 @@
 
 
 def test_a_frame_after_a_gap_renews_and_acknowledges_nothing() -> None:
-    """What is missing may withdraw what came before; the echo must not confirm that."""
+    """The missing bodies may stop earlier runs, so the echo must not renew the lease."""
     target, entry = Session(1, 0), Session(1, 0)
     entry.accept(target.frame(100))
     entry.send(body(1))
@@ -71,8 +71,8 @@
     assert target.acknowledged == 0
 
 
-def test_an_echo_renews_from_when_its_stamp_was_heard() -> None:
-    """A peer that has died since can't have a lease of what was echoed late."""
+def test_an_echo_renews_from_the_time_its_stamp_was_received() -> None:
+    """A late echo must not extend the lease of a peer that has died since."""
     target, entry = Session(1, 0), Session(1, 0)
     entry.accept(target.frame(100), 110)
     entry.frame(900)
