--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/__init__.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/__init__.py
@@ -1,7 +1,7 @@
-"""Jobs whose callers choose the key and wait, and whose tasks run under leases.
+"""Jobs whose callers choose the key and wait for the answer, and whose tasks run under leases.
 
-An entry is the home of each job that it takes, for as long as the caller's connection lives
-(`dispatcher`); a target gives orders to the one runner beside it (`worker`). What the two tell one
-another travels in a session (`session`), which is itself a lease. docs/design/platform.md says why
-no task runs twice at once.
+An entry owns each job that it accepts, as long as the caller's connection lasts (`dispatcher`); a
+target controls the one runner on its host (`worker`). The two exchange messages in a session
+(`session`), which is itself a lease. docs/design/platform.md explains why no task runs twice at
+once.
 """
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
@@ -1,4 +1,4 @@
-"""How far a target trusts its runner: recent failures, runs that stand still, and speed."""
+"""A runner's health as its target sees it: recent failures, stuck runs and speed."""
 
 from collections import deque
 from typing import final
@@ -6,86 +6,86 @@
 from paddleshunt_core.leased.wire import Health
 
 RECENT_ENDS = 8
-"""Ends of runs that are remembered."""
+"""Number of recent ends of runs that are considered."""
 
-FAILURES = 3
-"""Failed runs among the remembered ones with which a runner counts as sick."""
+SICK_FAILURES = 3
+"""Failed runs among `RECENT_ENDS` with which a runner counts as sick."""
 
 SICK_SECONDS = 2.0
-"""Seconds for which a sick runner is given nothing, before it may prove itself with one task."""
+"""Seconds for which a sick runner gets no task, before it is on probation with one task."""
 
 SICK_SPEED = 0.35
-"""Speed, against the estimates, below which a runner counts as sick."""
+"""Speed relative to the estimates below which a runner counts as sick."""
 
-SPEED_WINDOW = 0.8
+SPEED_WINDOW_SECONDS = 0.8
 """Seconds over which speed is measured."""
 
-LEAST_EVIDENCE = 0.25
-"""Run-seconds in the window below which no speed is told."""
+MIN_SPEED_RUN_SECONDS = 0.25
+"""Run-seconds in the window below which the speed is unknown."""
 
 
 @final
 class RunnerHealth:
-    """Evidence about one life of a runner."""
+    """Health of one incarnation of a runner."""
 
     def __init__(self, cold_overrun: float = 1.0) -> None:
         self._cold_overrun = cold_overrun
         self._cold_until = float("-inf")
         self._failed: deque[bool] = deque(maxlen=RECENT_ENDS)
         self._sick_until = 0.0
-        self._proved = True
+        self._passed_probation = True
         self._progress: deque[tuple[float, float, float]] = deque()
 
     def level(self, now: float) -> Health:
-        """Return how far the runner is trusted."""
+        """Return the runner's health."""
         if now < self._sick_until:
             return Health.SICK
-        return Health.GOOD if self._proved else Health.PROBATION
+        return Health.GOOD if self._passed_probation else Health.PROBATION
 
     def set_cold_remaining(self, now: float, cold: float) -> None:
-        """Note that the runner stays slow for `cold` seconds yet after its start; 0: it is warm."""
+        """Record that the runner stays slow for another `cold` seconds; 0 if it is warm."""
         self._cold_until = now + cold if cold else min(self._cold_until, now)
 
-    def overrun_factor(self, then: float) -> float:
-        """Return how many times as long as of a warm runner work may take that began `then`."""
-        return self._cold_overrun if then < self._cold_until else 1.0
+    def overrun_factor(self, started: float) -> float:
+        """Return how many times the usual duration a run begun at `started` may take."""
+        return self._cold_overrun if started < self._cold_until else 1.0
 
     def is_slow(self, now: float) -> bool:
-        """Whether the runner has been slow lately, beyond what a cold one is."""
-        return self.speed(now) < SICK_SPEED / self.overrun_factor(now - SPEED_WINDOW)
+        """Whether the runner has recently been slower than a cold one may be."""
+        return self.speed(now) < SICK_SPEED / self.overrun_factor(now - SPEED_WINDOW_SECONDS)
 
     def done(self, now: float, speed: float, began: float | None = None) -> None:
-        """Note a run that ended well, at `speed` against its estimate; it `began` then."""
+        """Record a successful run, its `speed` relative to the estimate, and when it `began`."""
         self._failed.append(False)
-        if not self._proved and speed < SICK_SPEED / self.overrun_factor(
+        if not self._passed_probation and speed < SICK_SPEED / self.overrun_factor(
             now if began is None else began
         ):
             self.mark_sick(now)
             return
-        self._proved = True
+        self._passed_probation = True
 
     def failed(self, now: float) -> None:
-        """Note a run that failed; it may have been the task's own fault."""
+        """Record a failed run, whether the runner or the task caused the failure."""
         self._failed.append(True)
-        if not self._proved or sum(self._failed) >= FAILURES:
+        if not self._passed_probation or sum(self._failed) >= SICK_FAILURES:
             self.mark_sick(now)
 
     def mark_sick(self, now: float) -> None:
-        """Trust the runner with nothing for a while, then with one task."""
+        """Mark the runner as sick for `SICK_SECONDS`, then as on probation."""
         self._sick_until = now + SICK_SECONDS
-        self._proved = False
+        self._passed_probation = False
         self._progress.clear()
         self._failed.clear()
 
     def progressed(self, now: float, work: float, seconds: float) -> None:
-        """Note that a run did `work` seconds of its estimate within `seconds`."""
+        """Record that a run did `work` seconds of its estimate within `seconds`."""
         self._progress.append((now, work, seconds))
 
     def speed(self, now: float) -> float:
-        """Return work done a second of running, against the estimates; 1.0 if unknown."""
-        while self._progress and self._progress[0][0] < now - SPEED_WINDOW:
+        """Return the estimated work done per second of running; 1.0 if unknown."""
+        while self._progress and self._progress[0][0] < now - SPEED_WINDOW_SECONDS:
             self._progress.popleft()
-        seconds = sum(entry[2] for entry in self._progress)
-        if seconds < LEAST_EVIDENCE:
+        seconds = sum(sample[2] for sample in self._progress)
+        if seconds < MIN_SPEED_RUN_SECONDS:
             return 1.0
-        return sum(entry[1] for entry in self._progress) / seconds
+        return sum(sample[1] for sample in self._progress) / seconds
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/pausedetector.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/pausedetector.py
@@ -1,29 +1,29 @@
-"""Notices that this process stood still: what it read or held meanwhile may be out of date."""
+"""Detection of pauses of this process, after which its input and state may be out of date."""
 
 from typing import final
 
 RESUME_GRACE_SECONDS = 0.1
-"""Seconds after a stand-still in which new requests are refused: they may be old."""
+"""Seconds after a pause in which new requests are refused, as they may be old."""
 
 
 @final
 class PauseDetector:
-    """Watches the time between calls; `longest` seconds are no stand-still yet."""
+    """Watches the time between calls; more than `longest` seconds count as a pause."""
 
     def __init__(self, longest: float) -> None:
         self._longest = longest
-        self._moved: float | None = None
-        self._thawed = float("-inf")
+        self._last_call: float | None = None
+        self._resumed = float("-inf")
 
     def observe(self, now: float) -> float:
-        """Note that the process runs; return how long it stood still before, 0 if it did not."""
-        before = self._moved
-        self._moved = now
-        if before is None or now - before <= self._longest:
+        """Record that the process runs; return the length of the pause before, 0.0 if none."""
+        previous = self._last_call
+        self._last_call = now
+        if previous is None or now - previous <= self._longest:
             return 0.0
-        self._thawed = now
-        return now - before
+        self._resumed = now
+        return now - previous
 
     def recently_resumed(self, now: float) -> bool:
-        """Whether a stand-still ended so lately that what is read now may be old."""
-        return now < self._thawed + RESUME_GRACE_SECONDS
+        """Whether a pause ended so recently that input read now may be old."""
+        return now < self._resumed + RESUME_GRACE_SECONDS
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -1,4 +1,4 @@
-"""Tells entries of a target's runner: its state, its health and the room that each is shown."""
+"""Reports to entries about a target's runner: state, health and the free resources each may use."""
 
 from collections.abc import Mapping
 from typing import final
@@ -12,19 +12,19 @@
 from paddleshunt_core.leased.runnercontrol import RunnerControl
 from paddleshunt_core.leased.wire import Health, RunnerReport, RunnerState
 
-COLD_STEP = 0.5
-"""Seconds by which a runner must stay cold longer than entries were told, for a new report.
+COLD_CHANGE_SECONDS = 0.5
+"""Seconds by which a runner must stay cold longer than last reported to cause a new report.
 
-Entries let the time run down by themselves; heartbeats that are under way longer shift it a little.
+Entries count the reported time down themselves; delays of heartbeats shift it a little.
 """
 
-PLENTY = 0.3
-"""Share of the runner's room that is free, above which changes are told with the next heartbeat."""
+PLENTY_SHARE = 0.3
+"""Free share of the runner's capacity above which changes wait for the next heartbeat."""
 
 
 @final
 class Reporter:
-    """Puts what is due to be told into the sessions of one target."""
+    """Queues ends of runs and reports in the sessions of one target."""
 
     def __init__(self, times: LeaseTimes, control: RunnerControl, offers: Offers) -> None:
         self._times = times
@@ -34,9 +34,10 @@
     def prepare(
         self, now: float, links: Mapping[str, EntryLink], *, sheds: bool = False
     ) -> float | None:
-        """Put ends and reports that are due into the sessions; return when the next is due.
+        """Queue the ends and reports that are due; return when the next is due, or None.
 
-        `sheds`: reports that can wait go with heartbeats, as this host's link is pressed.
+        With `sheds`, reports that can wait are sent at most once a heartbeat, as this host's
+        network link is overloaded.
         """
         next_due: float | None = None
         plenty = self._has_plenty()
@@ -48,13 +49,13 @@
             if link.session is None:
                 continue
             report = self._report(now, link, free if holder in (None, name) else NOTHING)
-            if link.report_due or _says_anew(now, report, link):
+            if link.report_due or _has_news(now, report, link):
                 held = link.is_held(has_runs=self._control.table.has_entry(name))
-                pause = link.min_report_interval(self._times, report, plenty=plenty, held=held)
+                interval = link.min_report_interval(self._times, report, plenty=plenty, held=held)
                 if sheds:
-                    pause = max(pause, self._times.heartbeat)
-                at_once = holder == name or (holder is not None and _takes_back(report, link))
-                due = now if at_once else link.reported + pause
+                    interval = max(interval, self._times.heartbeat)
+                at_once = holder == name or (holder is not None and _withdraws_offer(report, link))
+                due = now if at_once else link.reported + interval
                 if link.ends or now >= due:
                     link.send_report(now, report, plenty=plenty)
                 else:
@@ -66,17 +67,17 @@
         control = self._control
         if control.account is None or control.state() is not RunnerState.READY:
             return False
-        return control.table.used.share_of(control.account.capacity) < 1 - PLENTY
+        return control.table.used.share_of(control.account.capacity) < 1 - PLENTY_SHARE
 
     def _holder(self, now: float, free: Resources, plenty: bool) -> str | None:
-        """Return the entry that alone is shown the room; None if all are shown it."""
+        """Return the only entry that is offered the free resources; None if all are."""
         if self._control.level is not Health.GOOD:
             return None
         if plenty and not self._offers.is_contended(free):
             return None
         return self._offers.holder(now, free)
 
-    def _report(self, now: float, link: EntryLink, shown: Resources) -> RunnerReport:
+    def _report(self, now: float, link: EntryLink, free: Resources) -> RunnerReport:
         control = self._control
         account = control.account
         return RunnerReport(
@@ -85,7 +86,7 @@
             state=control.state() if link.retired is None else RunnerState.LEAVING,
             health=control.level,
             capacity=account.capacity if account else NOTHING,
-            free=shown,
+            free=free,
             labels=account.labels if account else (),
             cold_ms=round(control.cold(now) * 1000),
             kind=account.kind if account else "",
@@ -93,20 +94,20 @@
         )
 
 
-def _takes_back(report: RunnerReport, link: EntryLink) -> bool:
-    """Whether a report shows less room than the last one: what is sent for it would come back."""
+def _withdraws_offer(report: RunnerReport, link: EntryLink) -> bool:
+    """Whether a report offers less than the last one: tasks sent for that one would be rejected."""
     last = link.report
     return last is not None and report.free != last.free and report.free.fits(last.free)
 
 
-def _says_anew(now: float, report: RunnerReport, link: EntryLink) -> bool:
-    """Whether a report says more than the last one: that a cold runner gets warmer needs none."""
+def _has_news(now: float, report: RunnerReport, link: EntryLink) -> bool:
+    """Whether a report differs from the last one by more than the passing of the cold time."""
     last = link.report
     if report == last:
         return False
     if last is None or not (report.cold_ms and last.cold_ms):
         return True
     later_ms = report.cold_ms + round((now - link.reported) * 1000) - last.cold_ms
-    if later_ms > COLD_STEP * 1000:
+    if later_ms > COLD_CHANGE_SECONDS * 1000:
         return True
     return msgspec.structs.replace(report, cold_ms=last.cold_ms) != last
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -1,4 +1,4 @@
-"""A target's side of a session: held or idle, and what waits for its lease."""
+"""A target's side of a session: held and idle sessions, and runs that wait for the lease."""
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def worker() -> Worker:
-    """A worker in session with an entry since 1.0, which has told all that it has to."""
+    """A worker in session with an entry since 1.0, with nothing left to send."""
     worker = Worker(TIMES)
     account = RunnerAccount(RunnerLife("i-1"), "svc", "hall", Resources(8000, 8000), False, None)
     worker.runner_spoke(0.9, account)
@@ -55,13 +55,13 @@
     return Frame(number, 1, 0, round(echo * 1000), list(bodies))
 
 
-def told(worker: Worker, now: float) -> list[object]:
+def sent_bodies(worker: Worker, now: float) -> list[object]:
     worker.prepare_frames(now)
     sent = worker.next_frame(now, "e", beat=False)
     return list(sent.bodies) if sent else []
 
 
-def test_what_comes_after_the_lease_waits_for_an_echo_of_a_later_stamp(worker: Worker) -> None:
+def test_a_run_assigned_after_the_lease_expired_waits_for_a_later_echo(worker: Worker) -> None:
     assert started(worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))) == []
     assert worker.next_frame(2.0, "e", beat=False) is not None
     assert started(worker.heard(2.001, "e", frame(2, 1.0))) == []
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize(
     ("left", "starts"), [(0.01, False), (TIMES.heartbeat + 0.01, True)], ids=["short", "enough"]
 )
-def test_nothing_starts_under_a_lease_that_no_heartbeat_can_renew_in_time(
+def test_nothing_starts_under_a_lease_that_expires_before_the_next_heartbeat(
     left: float, worker: Worker, *, starts: bool
 ) -> None:
     now = 1.0 + TIMES.session - left
@@ -80,42 +80,42 @@
     assert (started(worker.heard(now + 0.002, "e", frame(2, now))) == [RUN]) is not starts
 
 
-def test_what_is_withdrawn_in_the_frame_that_confirms_it_does_not_start(worker: Worker) -> None:
+def test_a_run_stopped_in_the_frame_that_confirms_the_lease_does_not_start(worker: Worker) -> None:
     worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))
     assert started(worker.heard(2.04, "e", frame(2, 2.0, Stop([RUN])))) == []
 
 
-def test_an_assignment_and_its_withdrawal_that_come_again_together_start_nothing(
+def test_an_assignment_and_its_stop_resent_together_start_nothing(
     worker: Worker,
 ) -> None:
-    """As when a connection broke before both, and the session goes on over the next."""
+    """As after a connection broke before both arrived and the session was resumed."""
     assert started(worker.heard(2.0, "e", frame(1, 2.0, ASSIGN, Stop([RUN])))) == []
 
 
-def test_what_is_not_confirmed_in_time_is_given_back(worker: Worker) -> None:
+def test_runs_not_confirmed_in_time_end_as_not_started(worker: Worker) -> None:
     worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))
     worker.tick(2.0 + TIMES.pending - 0.01)
-    assert not [body for body in told(worker, 2.2) if isinstance(body, Ended)]
+    assert not [body for body in sent_bodies(worker, 2.2) if isinstance(body, Ended)]
     worker.tick(2.0 + TIMES.pending + 0.01)
-    ends = [body for body in told(worker, 2.3) if isinstance(body, Ended)]
+    ends = [body for body in sent_bodies(worker, 2.3) if isinstance(body, Ended)]
     assert ends == [Ended([(RUN, End.NOT_STARTED)])]
 
 
-def test_a_stand_still_longer_than_the_lease_leaves_nothing_to_start(worker: Worker) -> None:
-    """The entry's echo was read in time by nobody."""
+def test_a_pause_longer_than_the_lease_leaves_nothing_to_start(worker: Worker) -> None:
+    """The paused target did not read the entry's echo in time."""
     worker.heard(2.0, "e", frame(1, 1.0, ASSIGN))
     assert started(worker.heard(2.0 + TIMES.session + 0.01, "e", frame(2, 2.0))) == []
 
 
-def test_no_more_is_kept_than_could_start(worker: Worker) -> None:
+def test_the_number_of_pending_runs_is_bounded(worker: Worker) -> None:
     many = Assign("job", 0, "spec", NEED, 1, 4000, [(n, 1) for n in range(MAX_PENDING + 3)])
     worker.heard(2.0, "e", frame(1, 1.0, many))
-    (ended,) = [body for body in told(worker, 2.0) if isinstance(body, Ended)]
+    (ended,) = [body for body in sent_bodies(worker, 2.0) if isinstance(body, Ended)]
     assert len(ended.ends) == 3
 
 
-def beats(worker: Worker, since: float, seconds: float) -> int:
-    """Return the heartbeats of so long; each is answered but for acknowledgements."""
+def count_heartbeats(worker: Worker, since: float, seconds: float) -> int:
+    """Return the number of heartbeats sent; each is answered without acknowledgement."""
     count = 0
     for tick in range(round(seconds / TIMES.heartbeat)):
         now = since + tick * TIMES.heartbeat
@@ -128,48 +128,48 @@
     return count
 
 
-def test_heartbeats_are_many_only_while_the_session_is_held(worker: Worker) -> None:
-    assert beats(worker, 1.2, 4.0) <= 4.0 / TIMES.idle_beat + 1
+def test_heartbeats_are_frequent_only_while_the_session_is_held(worker: Worker) -> None:
+    assert count_heartbeats(worker, 1.2, 4.0) <= 4.0 / TIMES.idle_beat + 1
     worker.heard(5.2, "e", frame(1, 5.2, ASSIGN))
     worker.start_answered(5.201, RUN, StartAnswer.STARTED)
-    assert beats(worker, 5.3, 4.0) >= 4.0 / TIMES.heartbeat - 1
+    assert count_heartbeats(worker, 5.3, 4.0) >= 4.0 / TIMES.heartbeat - 1
 
 
-def test_a_session_is_held_until_the_entry_knows_how_its_last_run_ended(worker: Worker) -> None:
+def test_a_session_is_held_until_the_entry_acknowledges_its_last_end(worker: Worker) -> None:
     worker.heard(1.1, "e", frame(1, 1.1, ASSIGN))
     worker.start_answered(1.101, RUN, StartAnswer.STARTED)
     assert worker.held_names() == {"e"}
     worker.looked(1.2, LookAnswer(1.19, [], [FinishedRun(1, RUN, RunEnd.DONE)]))
-    assert any(isinstance(body, Ended) for body in told(worker, 1.2))
+    assert any(isinstance(body, Ended) for body in sent_bodies(worker, 1.2))
     assert worker.held_names() == {"e"}
     worker.heard(1.202, "e", Frame(2, 99, 0, 1200, []))
     assert worker.held_names() == set()
 
 
-def test_an_idle_entry_hears_of_a_runner_that_leaves_at_once(worker: Worker) -> None:
+def test_an_idle_entry_gets_a_leaving_runners_report_at_once(worker: Worker) -> None:
     worker.heard(1.01, "e", frame(1, 1.0))
     worker.leave(1.02)
-    reports = [body for body in told(worker, 1.021) if isinstance(body, RunnerReport)]
+    reports = [body for body in sent_bodies(worker, 1.021) if isinstance(body, RunnerReport)]
     assert [report.state for report in reports] == [RunnerState.LEAVING]
 
 
-def test_a_session_under_which_nothing_runs_outlives_its_lease(worker: Worker) -> None:
+def test_a_session_without_runs_outlives_its_lease(worker: Worker) -> None:
     worker.tick(1.0 + TIMES.idle_session - 0.01)
     assert worker.session("e") is not None
     worker.tick(1.01 + TIMES.idle_session)
     assert worker.session("e") is None
 
 
-def test_the_runners_lease_is_renewed_only_while_something_is_at_work(worker: Worker) -> None:
+def test_the_runners_lease_is_renewed_only_while_something_runs(worker: Worker) -> None:
     assert worker.next_look(1.1).until is None
     worker.heard(1.1, "e", frame(1, 1.1, ASSIGN))
     assert worker.next_look(1.11).until is not None
 
 
-def test_a_session_that_goes_on_over_a_new_connection_is_not_about_to_end(worker: Worker) -> None:
-    """Without a connection, other sessions were preferred for a moment."""
-    told(worker, 1.01)
+def test_a_session_resumed_over_a_new_connection_is_no_longer_retired(worker: Worker) -> None:
+    """While the connection was down, other entries were preferred."""
+    sent_bodies(worker, 1.01)
     worker.retire(1.1, set())
     worker.opened(1.2, Hello("e", "life", True, "hall", "", 1, 0), 1.19)
-    reports = [body for body in told(worker, 1.5) if isinstance(body, RunnerReport)]
+    reports = [body for body in sent_bodies(worker, 1.5) if isinstance(body, RunnerReport)]
     assert [report.state for report in reports] == [RunnerState.READY]
--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -1,7 +1,7 @@
 """Random faults around first assignments to idle sessions: no task runs twice at once.
 
-`Fleet.check` holds that after each step. The planted bugs show that the machine bites: each takes
-away one thing that the rule rests on, and the machine must find a task that runs twice.
+`Fleet.check` verifies this after each step. The planted bugs verify the test: each removes one
+safeguard, and the state machine must then find a task that runs twice.
 """
 
 import os
@@ -33,7 +33,7 @@
     "deadline": None,
     "suppress_health_check": list(HealthCheck),
     "database": None,
-    # Shrinking a fleet's history takes minutes; the seeds are fixed, so it can be played again.
+    # Shrinking takes minutes; the seeds are fixed, so a failure can be reproduced.
     "phases": [Phase.generate],
 }
 FIXED = settings(max_examples=40, stateful_step_count=4, derandomize=True, **_shared)
@@ -49,7 +49,7 @@
 
 
 class IdleMachine(RuleBasedStateMachine):
-    """Two entries, two targets, few jobs; most work meets sessions that are idle."""
+    """Two entries, two targets and few jobs, which are mostly assigned in idle sessions."""
 
     @initialize()
     def start(self) -> None:
@@ -57,38 +57,36 @@
         self.resend = Bounds().resend
         self.jobs = 0
         self.waiting: dict[int, tuple[str, str, int]] = {}
-        """The key and the entry of each caller that waits, and what its job is."""
-        self.again: list[tuple[float, str]] = []
-        self.undo: list[tuple[float, Callable[[], None]]] = []
+        """By waiting caller: the key of its job, its entry and the entry's process start."""
+        self.resubmissions: list[tuple[float, str]] = []
+        self.undos: list[tuple[float, Callable[[], None]]] = []
         self.fleet.settle()
 
-    # Time, and what callers do in it.
-
     def run(self, steps: int) -> None:
         for _ in range(steps):
             self.fleet.step()
-            for item in [item for item in self.undo if item[0] <= self.fleet.now]:
-                self.undo.remove(item)
+            for item in [item for item in self.undos if item[0] <= self.fleet.now]:
+                self.undos.remove(item)
                 item[1]()
-            self.send_again()
+            self.resubmit()
 
-    def send_again(self) -> None:
-        """Let who lost its entry, or was given up, send again `resend` later."""
+    def resubmit(self) -> None:
+        """Submit jobs again, `resend` after their entry was lost or they were given up."""
         for caller, (key, entry, life) in list(self.waiting.items()):
             node = self.fleet.entries[entry]
             lost = not node.up or node.life != life
             outcome = self.fleet.answers.get(caller)
             if lost or isinstance(outcome, GivenUp):
                 del self.waiting[caller]
-                self.again.append((self.fleet.now + self.resend, key))
-        for item in [item for item in self.again if item[0] <= self.fleet.now]:
-            self.again.remove(item)
+                self.resubmissions.append((self.fleet.now + self.resend, key))
+        for item in [item for item in self.resubmissions if item[0] <= self.fleet.now]:
+            self.resubmissions.remove(item)
             self.submit(item[1], first=0)
 
     def submit(self, key: str, first: int) -> None:
         names = [name for name, node in self.fleet.entries.items() if node.moves]
         if not names:
-            self.again.append((self.fleet.now + self.resend, key))
+            self.resubmissions.append((self.fleet.now + self.resend, key))
             return
         entry = names[first % len(names)]
         caller = self.fleet.submit(entry, key, count=1, length=3.0, deadline=9.0)
@@ -104,15 +102,13 @@
 
     @rule()
     def all_end(self) -> None:
-        """Let all jobs go, so that sessions turn idle."""
+        """Make all callers leave, so that sessions become idle."""
         for caller, (_, entry, life) in self.waiting.items():
             if self.fleet.entries[entry].moves and self.fleet.entries[entry].life == life:
                 self.fleet.leave(entry, caller)
         self.waiting.clear()
         self.run(60)
 
-    # Work and faults.
-
     @rule(
         first=st.integers(0, 1),
         delay=st.integers(1, 4),
@@ -124,46 +120,46 @@
     def a_first_job(
         self, first: int, delay: int, fault: str, lasts: float, gap: int, then: str
     ) -> None:
-        """Hand a job in at an entry that is idle, and strike where it was sent, once or twice."""
-        struck = self.first_job(first, delay)
-        for target, entry in struck:
-            self.strike(fault, target, entry, lasts)
+        """Submit a job to an idle entry, and inject one or two faults where it was placed."""
+        placed = self.first_job(first, delay)
+        for target, entry in placed:
+            self.inject_fault(fault, target, entry, lasts)
         self.run(gap)
-        for target, entry in struck:
-            self.strike(then, target, entry, lasts)
+        for target, entry in placed:
+            self.inject_fault(then, target, entry, lasts)
         self.run(20 + round(lasts * 100))
 
     @rule(first=st.integers(0, 1), delay=st.integers(2, 3))
-    def a_target_stands_still(self, first: int, delay: int) -> None:
-        """It does so with work pending, and reads what was meant to confirm it much later."""
+    def a_target_pauses(self, first: int, delay: int) -> None:
+        """A target pauses with runs pending, and reads the frame that confirms them much later."""
         for target, _ in self.first_job(first, delay):
-            self.strike("freeze", target, "", 2.2)
+            self.inject_fault("freeze", target, "", 2.2)
         self.run(250)
 
     @rule(first=st.integers(0, 1), gap=st.integers(2, 3))
     def a_withdrawal_is_lost(self, first: int, gap: int) -> None:
-        """A target's answer is held up, and what the entry then says to it gets lost."""
-        struck = self.first_job(first, 2)
-        for target, entry in struck:
+        """A target's answer is delayed, and the entry's next messages to it are lost."""
+        placed = self.first_job(first, 2)
+        for target, entry in placed:
             self.cut(target, entry, 0.1)
         self.run(gap)
-        for target, entry in struck:
+        for target, entry in placed:
             self.fleet.lose(target, entry)
         self.run(40)
 
     @rule(first=st.integers(0, 1), lasts=st.sampled_from([0.05, 0.5]))
     def a_target_at_work_restarts(self, first: int, lasts: float) -> None:
-        """Its runner goes on, and may not hear the stops of what the earlier life has left."""
+        """Its runner continues, and may lose the stops of runs from before the restart."""
         for target, _ in self.first_job(first, 8):
             runner = self.fleet.runners[target]
             runner.loses_stops = True
             self.later(1.5, partial(setattr, runner, "loses_stops", False))
-            self.strike("kill", target, "", lasts)
+            self.inject_fault("kill", target, "", lasts)
         self.run(200)
 
     def first_job(self, first: int, delay: int) -> list[tuple[str, str]]:
-        """Hand a job in while all is idle; return the targets that have work a moment later."""
-        self.turn_idle()
+        """Submit a job while all is idle; return the targets with work after `delay` steps."""
+        self.become_idle()
         self.jobs += 1
         self.submit(f"job{self.jobs}", first)
         self.run(delay)
@@ -174,8 +170,8 @@
             if target.placed
         ]
 
-    def turn_idle(self) -> None:
-        """Let time pass until no target may start anything, as far as entries know."""
+    def become_idle(self) -> None:
+        """Advance until no target may start anything, as far as entries know."""
         for _ in range(150):
             if not any(
                 target.may_begin(self.fleet.times, self.fleet.now)
@@ -185,7 +181,7 @@
                 return
             self.run(1)
 
-    def strike(self, fault: str, node: str, entry: str, lasts: float) -> None:
+    def inject_fault(self, fault: str, node: str, entry: str, lasts: float) -> None:
         fleet = self.fleet
         if fault in ("cut_both", "cut_out") and node != entry:
             self.cut(entry, node, lasts)
@@ -207,17 +203,17 @@
         self.later(lasts, lambda: self.fleet.cuts.discard((sender, receiver)))
 
     def later(self, seconds: float, undo: Callable[[], None]) -> None:
-        self.undo.append((self.fleet.now + seconds, undo))
+        self.undos.append((self.fleet.now + seconds, undo))
 
     @rule(
         fault=st.sampled_from(FAULTS), number=st.integers(0, 3), lasts=st.sampled_from([0.1, 0.9])
     )
     def a_fault(self, fault: str, number: int, lasts: float) -> None:
-        self.strike(fault, f"t{number % 2}", f"e{number // 2}", lasts)
+        self.inject_fault(fault, f"t{number % 2}", f"e{number // 2}", lasts)
 
     @rule(number=st.integers(0, 1), lasts=st.sampled_from([0.2, 1.0]))
     def an_entry_ends(self, number: int, lasts: float) -> None:
-        self.strike("kill", f"e{number}", f"e{number}", lasts)
+        self.inject_fault("kill", f"e{number}", f"e{number}", lasts)
 
     @rule(
         number=st.integers(0, 1),
@@ -237,13 +233,13 @@
 
     @rule(first=st.integers(0, 1))
     def a_caller_leaves(self, first: int) -> None:
-        """One hangs up, and sends again to any entry."""
+        """A caller disconnects, and submits its job again to any entry."""
         for caller, (key, entry, life) in list(self.waiting.items())[:1]:
             node = self.fleet.entries[entry]
             if node.moves and node.life == life and caller not in self.fleet.answers:
                 self.fleet.leave(entry, caller)
                 del self.waiting[caller]
-                self.again.append((self.fleet.now + self.resend, key))
+                self.resubmissions.append((self.fleet.now + self.resend, key))
 
 
 def test_no_task_runs_twice_around_idle_sessions() -> None:
@@ -251,17 +247,17 @@
 
 
 def start_unconfirmed(patch: pytest.MonkeyPatch) -> None:
-    """A target starts what it is given although its lease has run out."""
+    """A target starts runs although its lease has expired."""
     patch.setattr(EntryLink, "lease_left", lambda self, now, times: times.session)
 
 
-def open_too_soon(patch: pytest.MonkeyPatch) -> None:
-    """A target that was started anew opens sessions while runs of its earlier life go on."""
+def open_too_early(patch: pytest.MonkeyPatch) -> None:
+    """A restarted target opens sessions while runs from before the restart continue."""
     patch.setattr(Worker, "may_open", lambda self, entry: True)
 
 
-def outlive_a_stand_still(patch: pytest.MonkeyPatch) -> None:
-    """What is pending survives a stand-still, and counts the lease from when it reads an echo."""
+def survive_a_pause(patch: pytest.MonkeyPatch) -> None:
+    """Pending runs survive a pause, and the lease counts from when an echo is read."""
     patch.setattr(LeaseTimes, "pending", 3600.0)
 
     def lease_left(self: EntryLink, now: float, times: LeaseTimes) -> float:
@@ -271,7 +267,7 @@
 
 
 def confirm_after_a_gap(patch: pytest.MonkeyPatch) -> None:
-    """A frame whose predecessors are missing renews the lease."""
+    """A frame after a gap renews the lease."""
 
     def accept(self: Session, frame: Frame, now_ms: int | None = None) -> list[Body]:
         self._peer_stamp = max(self._peer_stamp, frame.stamp_ms)
@@ -288,11 +284,11 @@
     patch.setattr(Session, "has_gap_before", lambda self, frame: False)
 
 
-def forget_to_withdraw(patch: pytest.MonkeyPatch) -> None:
-    """An entry places elsewhere what a target did not answer for, and doesn't tell it."""
+def omit_the_stop(patch: pytest.MonkeyPatch) -> None:
+    """An entry places unanswered tasks elsewhere without stopping them at the target."""
     withdraw = Answers._withdraw
 
-    def without_a_word(self: Answers, now: float, target: object, asked: float) -> object:
+    def without_stop(self: Answers, now: float, target: object, asked: float) -> object:
         session = target.session  # type: ignore[attr-defined]
         send = session.send
         session.send = lambda body: 0 if isinstance(body, Stop) else send(body)
@@ -300,11 +296,11 @@
         del session.send
         return logs
 
-    patch.setattr(Answers, "_withdraw", without_a_word)
+    patch.setattr(Answers, "_withdraw", without_stop)
 
 
-def withdraw_what_may_have_begun(patch: pytest.MonkeyPatch) -> None:
-    """An entry takes any target that says nothing for one that has started nothing."""
+def withdraw_started_runs(patch: pytest.MonkeyPatch) -> None:
+    """An entry assumes that a silent target has started nothing."""
     patch.setattr(TargetRecord, "may_begin", lambda self, times, placed_at: False)
 
 
@@ -312,11 +308,11 @@
     "plant",
     [
         start_unconfirmed,
-        open_too_soon,
-        outlive_a_stand_still,
+        open_too_early,
+        survive_a_pause,
         confirm_after_a_gap,
-        forget_to_withdraw,
-        withdraw_what_may_have_begun,
+        omit_the_stop,
+        withdraw_started_runs,
     ],
     ids=lambda plant: plant.__name__,
 )
--- a/testing/core/leased/test_odd_frames.py
+++ b/testing/core/leased/test_odd_frames.py
@@ -1,4 +1,4 @@
-"""Frames that are typed as they should be, with figures and names that nothing has."""
+"""Well-typed frames with numbers, names and ids that don't exist."""
 
 from random import Random
 
@@ -34,25 +34,25 @@
 )
 
 FRAMES = 20
-"""Odd frames that each side hears in one scene."""
+"""Odd frames that each side receives in one test."""
 
 
 class Odd:
-    """Draws bodies."""
+    """Generates random message bodies with implausible values."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
 
     def number(self) -> int:
-        far = [-1, 2**53, 2**63, 2**64 - 1, -(2**63)]
-        return self._rng.choice([*far, *range(5)])
+        extremes = [-1, 2**53, 2**63, 2**64 - 1, -(2**63)]
+        return self._rng.choice([*extremes, *range(5)])
 
     def text(self) -> str:
         return self._rng.choice(["", "job", "t0", "e0", "x" * 300, "\x00", "é"])
 
     def amount(self) -> Resources:
-        near = [0, 1, 1000, -1, MOST_AMOUNT, -MOST_AMOUNT]
-        return Resources(*(self._rng.choice(near) for _ in range(3)))
+        amounts = [0, 1, 1000, -1, MOST_AMOUNT, -MOST_AMOUNT]
+        return Resources(*(self._rng.choice(amounts) for _ in range(3)))
 
     def task(self) -> TaskId:
         return TaskId(self._rng.choice(["job", self.text()]), 0, self.number())
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_whatever_a_frame_says_is_borne_and_what_is_said_of_it_can_be_sent(seed: int) -> None:
+def test_odd_frames_raise_nothing_and_replies_can_be_encoded(seed: int) -> None:
     odd = Odd(Random(seed))
     fleet = Fleet(1, 2)
     fleet.settle()
@@ -114,14 +114,14 @@
 
 
 @pytest.mark.parametrize("amount", [MOST_AMOUNT + 1, -MOST_AMOUNT - 1, 2**63, 2**64 - 1])
-def test_an_amount_that_sums_could_not_be_sent_of_is_no_message(amount: int) -> None:
+def test_an_amount_too_large_to_encode_sums_of_is_rejected(amount: int) -> None:
     raw = msgspec.msgpack.encode(Frame(1, 0, 0, 0, [ResourceRequest(Resources(amount), 5)]))
     with pytest.raises(msgspec.ValidationError, match="Expected `int`"):
         msgspec.msgpack.decode(raw, type=Frame)
 
 
 @pytest.mark.parametrize("end", list(End))
-def test_an_end_of_a_task_that_a_job_does_not_have_ends_no_other(end: End) -> None:
+def test_an_end_of_an_unknown_task_ends_no_other_task(end: End) -> None:
     fleet = Fleet(1, 1)
     fleet.settle()
     caller = fleet.submit("e0", "job", count=3, length=0.3)
--- a/testing/core/leased/test_soak.py
+++ b/testing/core/leased/test_soak.py
@@ -1,8 +1,8 @@
-"""A soak: random faults, several at once, on a fleet of leased jobs; the rules hold at each step.
+"""Soak test: concurrent random faults on a fleet of leased jobs.
 
-`Fleet.check` runs after each step: no task runs twice at once, and no runner is over its capacity.
-Callers do as the platform's do: who meets silence sends the same job again, to another entry, once
-the bound `resend` has passed. `PADDLESHUNT_SOAK` gives the number of seeds.
+`Fleet.check` runs after each step: no task runs twice at once, and no runner exceeds its capacity.
+Callers behave like the platform's: without an answer they submit the job again, to another entry,
+after the bound `resend`. `PADDLESHUNT_SOAK` sets the number of seeds.
 """
 
 import os
@@ -20,16 +20,16 @@
 SECONDS = 12.0
 JOBS_A_SECOND = 8
 STOP_SECONDS = 0.05
-"""Seconds that a stop takes where runners come back under their ids."""
+"""Seconds that a runner's stop takes where runners return under their ids."""
 
 FAULT_SECONDS = 0.7
-"""Mean pause between two faults."""
+"""Mean seconds between two faults."""
 
 WIDE = Bounds(resend=2.4, hold_max=1.2, stop=0.1)
 
 
 class Soak:
-    """One fleet, its callers and its faults."""
+    """A fleet with its callers and faults."""
 
     def __init__(self, seed: int, bounds: Bounds, *, returns: bool = False) -> None:
         self.rng = Random(seed)
@@ -42,10 +42,10 @@
                 runner.stop_seconds = STOP_SECONDS
         for runner in list(self.fleet.runners.values())[::2]:
             runner.guards = False
-        self.ends: list[tuple[float, Callable[[], None]]] = []
+        self.undos: list[tuple[float, Callable[[], None]]] = []
         self.callers: dict[int, tuple[str, str]] = {}
-        """The key of each caller's job, and the entry it waits at."""
-        self.again: list[tuple[float, str]] = []
+        """By caller: the key of its job and the entry where it waits."""
+        self.resubmissions: list[tuple[float, str]] = []
         self.sent: dict[str, int] = {}
         self.keys = 0
 
@@ -56,22 +56,20 @@
         while self.fleet.now < end:
             if self.fleet.now >= next_fault:
                 next_fault += self.rng.expovariate(1 / FAULT_SECONDS)
-                self.strike()
+                self.inject_fault()
             if self.rng.random() < JOBS_A_SECOND * 0.05:
                 self.submit(f"job{self.keys}")
                 self.keys += 1
             self.fleet.run(0.05)
             self.undo(self.fleet.now)
-            self.send_again()
+            self.resubmit()
         self.undo(float("inf"))
         self.fleet.heal()
 
-    # Callers.
-
     def submit(self, key: str) -> None:
         entries = [name for name, node in self.fleet.entries.items() if node.moves]
         if not entries:
-            self.again.append((self.fleet.now + self.resend, key))
+            self.resubmissions.append((self.fleet.now + self.resend, key))
             return
         entry = self.rng.choice(entries)
         length = self.rng.choice([0.1, 0.4, 1.5])
@@ -81,22 +79,20 @@
         self.callers[caller] = (key, entry)
         self.sent[key] = self.sent.get(key, 0) + 1
 
-    def send_again(self) -> None:
-        """Let callers whose entry was lost or who were given up send again."""
+    def resubmit(self) -> None:
+        """Submit jobs again for callers whose entry was lost or whose job was given up."""
         for caller, (key, entry) in list(self.callers.items()):
             outcome = self.fleet.answers.get(caller)
             lost = outcome is None and not self.fleet.entries[entry].up
             if lost or isinstance(outcome, GivenUp):
                 del self.callers[caller]
-                self.again.append((self.fleet.now + self.resend, key))
-        due = [key for at, key in self.again if at <= self.fleet.now]
-        self.again = [(at, key) for at, key in self.again if at > self.fleet.now]
+                self.resubmissions.append((self.fleet.now + self.resend, key))
+        due = [key for at, key in self.resubmissions if at <= self.fleet.now]
+        self.resubmissions = [(at, key) for at, key in self.resubmissions if at > self.fleet.now]
         for key in due:
             self.submit(key)
 
-    # Faults.
-
-    def strike(self) -> None:
+    def inject_fault(self) -> None:
         fault = self.rng.choice(
             [
                 self.kill,
@@ -108,18 +104,18 @@
                 self.delay_orders,
                 self.lose_answers,
                 self.retire,
-                self.hand_in_crashing,
+                self.submit_crashing_job,
                 self.shrink,
             ]
         )
         fault()
 
-    def until(self, undo: Callable[[], None]) -> None:
-        self.ends.append((self.fleet.now + self.rng.uniform(0.1, 2.5), undo))
+    def schedule_undo(self, undo: Callable[[], None]) -> None:
+        self.undos.append((self.fleet.now + self.rng.uniform(0.1, 2.5), undo))
 
     def undo(self, now: float) -> None:
-        due = [undo for at, undo in self.ends if at <= now]
-        self.ends = [(at, undo) for at, undo in self.ends if at > now]
+        due = [undo for at, undo in self.undos if at <= now]
+        self.undos = [(at, undo) for at, undo in self.undos if at > now]
         for undo in due:
             undo()
 
@@ -130,24 +126,24 @@
         name = self.node()
         if (self.fleet.entries.get(name) or self.fleet.targets[name]).moves:
             self.fleet.kill(name)
-            self.until(lambda: self.fleet.start(name))
+            self.schedule_undo(lambda: self.fleet.start(name))
 
     def freeze(self) -> None:
         name = self.node()
         self.fleet.freeze(name)
-        self.until(lambda: self.fleet.thaw(name))
+        self.schedule_undo(lambda: self.fleet.thaw(name))
 
     def cut(self) -> None:
         pair = (self.rng.choice([*self.fleet.entries]), self.rng.choice([*self.fleet.targets]))
         for sender, receiver in self.rng.choice([[pair], [pair[::-1]], [pair, pair[::-1]]]):
             self.fleet.cut(sender, receiver)
-        self.until(self.fleet.heal)
+        self.schedule_undo(self.fleet.heal)
 
     def crash_runner(self) -> None:
         runner = self.rng.choice([*self.fleet.runners.values()])
         if runner.up:
             runner.crash()
-            self.until(lambda: self.fleet.bring_back(runner))
+            self.schedule_undo(lambda: self.fleet.bring_back(runner))
 
     def mute_runner(self) -> None:
         self._set("mute", True, False)
@@ -164,10 +160,10 @@
     def _set(self, field: str, value: object, normal: object) -> None:
         runner = self.rng.choice([*self.fleet.runners.values()])
         setattr(runner, field, value)
-        self.until(lambda: setattr(runner, field, normal))
+        self.schedule_undo(lambda: setattr(runner, field, normal))
 
-    def hand_in_crashing(self) -> None:
-        """Hand in jobs of which a task crashes each runner that starts it."""
+    def submit_crashing_job(self) -> None:
+        """Submit jobs with a task that crashes each runner that starts it."""
         for _ in range(self.rng.randint(1, 2)):
             key = f"bad{self.keys}"
             self.keys += 1
@@ -175,13 +171,13 @@
             self.submit(key)
 
     def shrink(self) -> None:
-        """Let a runner shrink, also to nothing, and grow again."""
+        """Reduce a runner's capacity, possibly to nothing, and restore it later."""
         runner = self.rng.choice([*self.fleet.runners.values()])
         runner.resize(self.fleet.now, Resources(self.rng.choice([0, 2000, 5000]), 8000))
-        self.until(lambda: runner.resize(self.fleet.now, CAPACITY))
+        self.schedule_undo(lambda: runner.resize(self.fleet.now, CAPACITY))
 
     def retire(self) -> None:
-        """Let a target prefer other entries for a moment."""
+        """Make a target prefer two random entries."""
         name = self.rng.choice([*self.fleet.targets])
         preferred = set(self.rng.sample([*self.fleet.entries], 2))
         self.fleet.workers[name].retire(self.fleet.now, preferred)
@@ -194,7 +190,7 @@
 
 
 def check_refusals(soak: Soak) -> None:
-    """Check that no job has run that was refused."""
+    """Check that no refused job has run."""
     fleet = soak.fleet
     started: set[TaskId] = {task for r in fleet.runners.values() for task in r.starts}
     keys = {task.job for task in started}
@@ -203,11 +199,11 @@
         for caller, (key, _) in soak.callers.items()
         if isinstance(fleet.answers.get(caller), Refused) and soak.sent[key] == 1
     }
-    assert not refused & keys, "a job that was refused has run"
+    assert not refused & keys, "a refused job has run"
 
 
-def check_that_work_goes_on(soak: Soak) -> None:
-    """Check that each entry's job is served once all is well again."""
+def check_recovery(soak: Soak) -> None:
+    """Check that each entry completes a job once all faults are over."""
     fleet = soak.fleet
     for name in [*fleet.entries, *fleet.targets]:
         fleet.thaw(name)
@@ -218,22 +214,22 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_the_rules_hold_under_random_faults(seed: int, bounds: Bounds) -> None:
+def test_invariants_hold_under_random_faults(seed: int, bounds: Bounds) -> None:
     soak = Soak(seed, bounds)
     soak.run()
     check_refusals(soak)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_the_rules_hold_as_runners_come_back_under_their_ids(seed: int, bounds: Bounds) -> None:
+def test_invariants_hold_as_runners_return_under_their_ids(seed: int, bounds: Bounds) -> None:
     soak = Soak(seed, bounds, returns=True)
     soak.run()
     check_refusals(soak)
-    check_that_work_goes_on(soak)
+    check_recovery(soak)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_work_goes_on_after_the_faults(seed: int, bounds: Bounds) -> None:
+def test_jobs_complete_after_the_faults(seed: int, bounds: Bounds) -> None:
     soak = Soak(seed, bounds)
     soak.run()
-    check_that_work_goes_on(soak)
+    check_recovery(soak)
