--- a/packages/paddleshunt-core/src/paddleshunt_core/links.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/links.py
@@ -109,7 +109,7 @@
         if report.load.running + report.load.queued < report.load.slots + pipeline:
             self.full_until = 0.0
 
-    def take_report(self, report: Report) -> bool:
+    def accept_report(self, report: Report) -> bool:
         """Note a report's number; return False if it is late or repeated."""
         if report.number <= self.last_report:
             return False
--- a/packages/paddleshunt-core/src/paddleshunt_core/members.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/members.py
@@ -58,9 +58,9 @@
 class Member:
     """A target's newest incarnation, with its last heartbeat and when it was sent (seconds).
 
-    `via` is the entry that heard it, empty if this one did; `reported_suspect` is that entry's word.
-    What this entry hears itself, it has from no other while it lasts.
-    `changed` is when something other than its load changed.
+    `via` is the entry that relayed the heartbeat, empty if it came directly; `reported_suspect` is
+    that entry's verdict. Relayed heartbeats are ignored while direct ones arrive. `changed` is when
+    something other than the load changed.
     """
 
     incarnation: Incarnation
--- a/testing/core/test_views.py
+++ b/testing/core/test_views.py
@@ -60,7 +60,7 @@
     digest = view_of(views, member).digest
     members.record_heartbeat(0.5, member.incarnation, beat("hall", view=digest), 0.0)
     members.record_heartbeat(0.6, Incarnation("t000", "1"), change, 0.0)
-    assert (view_of(views, member).snapshot is not None) is snapshot
+    assert (view_of(views, member).snapshot is not None) is whole
 
 
 def test_table_of_another_service_is_told_as_a_number(members: Members) -> None:
