--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -13,7 +13,6 @@
 from pathlib import Path
 
 import click
-
 from days import spread
 
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -37,7 +37,7 @@
 from paddleshunt_node.aio.linkmeter import LinkMeter, Metered
 from paddleshunt_node.aio.loop import once_known
 from paddleshunt_node.aio.ports import CallerCodec, StorePort
-from paddleshunt_node.aio.process import OperatorPages, Surroundings, serve_pages
+from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
 from paddleshunt_node.aio.sockets import serve
 from paddleshunt_node.aio.storefollower import StoreFollower
 
@@ -95,11 +95,11 @@
         config: EntryConfig,
         codec: CallerCodec,
         store: StorePort,
-        surroundings: Surroundings,
+        context: ProcessContext,
     ) -> None:
         self._config = config
         self._codec = codec
-        self._around = surroundings
+        self._context = context
         self._times = lease_times(config.bounds)
         self._life = os.urandom(6).hex()
         bounds = config.bounds
@@ -123,9 +123,9 @@
         greeting, silence = self._hello(0, 0), self._times.session
         self._peers = EntryPeers(self, own, greeting, silence, config.link_mbps)
         self._peers.seeds(set(config.seeds))
-        self._follower = StoreFollower(store, surroundings, own, self)
+        self._follower = StoreFollower(store, context, own, self)
         self._meter = LinkMeter(
-            surroundings,
+            context,
             self._connections,
             lambda: self._dispatcher.echo_age(self._now()),
             self._times.usual_echo,
@@ -144,7 +144,7 @@
     async def run(self) -> None:
         """Serve until told to stop, then leave."""
         await self._start()
-        await self._around.stopping.wait()
+        await self._context.stopping.wait()
         await self._leave()
 
     def describe(self) -> dict[str, object]:
@@ -168,28 +168,28 @@
         await self._callers.start(self._config.callers)
         await HttpServer(_Readiness(self)).start(self._config.ready)
         await serve(lambda: PeerLink(self._target_side, self._times.session), self._config.peers)
-        pages = OperatorPages(self._around.measures, self.describe)
-        await serve_pages(pages, self._config.metrics, self._around)
+        pages = OperatorPages(self._context.measures, self.describe)
+        await serve_pages(pages, self._config.metrics, self._context)
         add_entry_gauges(
-            self._around.measures,
+            self._context.measures,
             self._dispatcher,
             lambda: self.catalog.version,
             lambda: len(self._links),
         )
         self._meter.show()
-        self._around.event("started", role="entry", node=self._config.name, life=self._life)
-        self._around.spawn(self._peers.dial_for_ever())
-        self._around.spawn(self._tick_for_ever())
-        self._around.spawn(self._peers.gossip_for_ever())
-        self._around.spawn(self._follower.follow())
-        self._around.spawn(self._follower.announce())
+        self._context.event("started", role="entry", node=self._config.name, life=self._life)
+        self._context.spawn(self._peers.dial_for_ever())
+        self._context.spawn(self._tick_for_ever())
+        self._context.spawn(self._peers.gossip_for_ever())
+        self._context.spawn(self._follower.follow())
+        self._context.spawn(self._follower.announce())
 
     async def _leave(self) -> None:
         began = self._now()
         self._leaving = True
         self._callers.closing = True
-        self._around.event("leaving", jobs=self._dispatcher.jobs)
-        self._around.spawn(self._follower.withdraw())
+        self._context.event("leaving", jobs=self._dispatcher.jobs)
+        self._context.spawn(self._follower.withdraw())
         last = began + self._config.bounds.grace - END_MARGIN
         self._dispatcher.leave(last)
         noticed = min(began + NOTICED_SECONDS, last)
@@ -204,8 +204,8 @@
         self._callers.stop_listening()
         self._callers.close_idle()
         await asyncio.sleep(0.05)
-        self._around.cancel()
-        self._around.event("stopped", after_ms=round((self._now() - began) * 1000))
+        self._context.cancel()
+        self._context.event("stopped", after_ms=round((self._now() - began) * 1000))
 
     def reload(self, seeds: set[str]) -> None:
         """Adopt new settings."""
@@ -264,8 +264,8 @@
     def _act(self, effects: list[Effect], *, flush: bool = True) -> None:
         for effect in effects:
             if isinstance(effect, Log):
-                self._around.log(effect)
-                self._around.measures.event(effect.event)
+                self._context.log(effect)
+                self._context.measures.event(effect.event)
             elif isinstance(effect, HandOn):
                 self._peers.tell_loss(effect.news)
             else:
@@ -277,9 +277,9 @@
         outcome = effect.outcome
         kind = type(outcome).__name__.lower()
         reason = "" if isinstance(outcome, Completed) else outcome.reason
-        self._around.measures.answered(kind, reason)
-        self._around.measures.stage("answered", effect.waited)
-        self._around.event(
+        self._context.measures.answered(kind, reason)
+        self._context.measures.stage("answered", effect.waited)
+        self._context.event(
             "job_answered",
             job=effect.key,
             outcome=kind,
@@ -337,11 +337,11 @@
 
     def refuse(self, refusal: Refusal) -> None:
         """Take note of a word that can't be read."""
-        self._around.refuse(refusal)
+        self._context.refuse(refusal)
 
     def found(self, entry: EntryAddress) -> None:
         """Take note of an entry that is new, or has moved."""
-        self._around.event("entry_found", entry=entry.name, address=entry.address)
+        self._context.event("entry_found", entry=entry.name, address=entry.address)
 
     def tell_targets(self, changes: EntryChanges) -> None:
         """Tell the targets which entries have joined or gone."""
@@ -409,19 +409,21 @@
         limits.body_bytes = catalog.limits.body_bytes
         limits.header_timeout = catalog.limits.header_timeout
         limits.idle_timeout = catalog.limits.idle_timeout
-        self._around.event("catalog_adopted", version=catalog.version, before=before, source=source)
+        self._context.event(
+            "catalog_adopted", version=catalog.version, before=before, source=source
+        )
         self._peers.tell_catalog(catalog)
         for exchange, waited in self._early.release():
             self._handle(exchange, waited)
 
     def asked_for_catalog(self, peer: str) -> None:
         """Take note that another entry was asked for its configuration."""
-        self._around.event("catalog_asked_for", entry=peer, version=self.catalog.version)
+        self._context.event("catalog_asked_for", entry=peer, version=self.catalog.version)
 
     def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
         """Take note that another entry was sent the configuration."""
         version = self.catalog.version
-        self._around.event(
+        self._context.event(
             "catalog_handed_out", entry=peer, version=version, packed_bytes=packed_bytes
         )
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -14,7 +14,7 @@
 
 from paddleshunt_core.leased.linkpressure import LinkPressure, LinkSample
 
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 
 SAMPLE_SECONDS = 0.2
 """Seconds between two samples: a session bears 0.4 s of silence, and a sample costs up to 1 ms."""
@@ -60,13 +60,13 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        context: ProcessContext,
         connections: Callable[[], Iterable[Metered]],
         echo: Callable[[], float | None],
         usual_echo: float = float("inf"),
     ) -> None:
         self.pressure = LinkPressure(usual_echo)
-        self._around = surroundings
+        self._context = context
         self._connections = connections
         self._echo = echo
         self._written: dict[Metered, int] = {}
@@ -85,7 +85,7 @@
 
     def show(self) -> None:
         """Add the gauges to the metrics page."""
-        measures = self._around.measures
+        measures = self._context.measures
         measures.gauge(
             "paddleshunt_link_wait_seconds",
             "Time that bytes wait at the own link.",
@@ -118,8 +118,8 @@
             echo=echo,
         )
         for log in self.pressure.sampled(now, sample):
-            self._around.log(log)
-            self._around.measures.event(log.event)
+            self._context.log(log)
+            self._context.measures.event(log.event)
 
     def _held(self) -> dict[Metered, int]:
         """Return the bytes that asyncio holds, of the connections in use."""
@@ -174,7 +174,7 @@
             answer = fcntl.ioctl(sock.fileno(), _UNSENT, bytes(_COUNT.size))
         except OSError as problem:
             self._kernel_tells = False
-            self._around.event("kernel_bytes_unknown", problem=str(problem))
+            self._context.event("kernel_bytes_unknown", problem=str(problem))
             return 0
         count: int = _COUNT.unpack(answer)[0]
         return count
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
@@ -36,7 +36,7 @@
 
 
 @final
-class Surroundings:
+class ProcessContext:
     """Tasks, log and signals of one process."""
 
     def __init__(self, lines: LogLines, measures: Measures) -> None:
@@ -105,9 +105,9 @@
             self.stopping.set()
 
 
-async def serve_pages(pages: OperatorPages, address: str, around: Surroundings) -> None:
+async def serve_pages(pages: OperatorPages, address: str, context: ProcessContext) -> None:
     """Serve the operators' pages at host:port; without them the process still does its work."""
     try:
         await HttpServer(pages).start(address)
     except OSError as problem:
-        around.event("pages_unavailable", address=address, problem=str(problem))
+        context.event("pages_unavailable", address=address, problem=str(problem))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.wire import EntryAddress
 
 from paddleshunt_node.aio.ports import StorePort, StoreUnavailableError
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 
 ANNOUNCE_SECONDS = 12.0
 """Seconds for which the store keeps this entry's address."""
@@ -39,10 +39,10 @@
     """Calls the store for one entry; its loops end when they are cancelled."""
 
     def __init__(
-        self, store: StorePort, surroundings: Surroundings, entry: EntryAddress, owner: Owner
+        self, store: StorePort, context: ProcessContext, entry: EntryAddress, owner: Owner
     ) -> None:
         self._store = store
-        self._around = surroundings
+        self._context = context
         self._entry = entry
         self._owner = owner
         self._regained = asyncio.Event()
@@ -55,12 +55,12 @@
                 word = await self._store.next_word()
             except StoreUnavailableError as problem:
                 if reachable:
-                    self._around.event("store_lost", reason=str(problem))
+                    self._context.event("store_lost", reason=str(problem))
                 reachable = False
                 await asyncio.sleep(STORE_PAUSE)
                 continue
             if not reachable:
-                self._around.event("store_regained")
+                self._context.event("store_regained")
                 self._regained.set()
             reachable = True
             # Evacuations first: with a configuration the first job may be placed.
@@ -95,4 +95,4 @@
         try:
             await self._store.withdraw()
         except StoreUnavailableError as problem:
-            self._around.event("store_unavailable", reason=str(problem))
+            self._context.event("store_unavailable", reason=str(problem))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -39,7 +39,7 @@
     StoreUnavailableError,
     Superseded,
 )
-from paddleshunt_node.aio.process import OperatorPages, Surroundings, serve_pages
+from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
 
 LOOK_PAUSE = 0.08
 """Seconds before the next look after one that got no answer, or one that can't be read in full."""
@@ -93,20 +93,18 @@
         codec: RegistrationCodec,
         runner: RunnerPort,
         store: StorePort,
-        surroundings: Surroundings,
+        context: ProcessContext,
     ) -> None:
         self._config = config
         self._codec = codec
         self._runner = runner
         self._store = store
-        self._around = surroundings
+        self._context = context
         self._times = lease_times(config.bounds)
         self._life = os.urandom(6).hex()
         self._worker = Worker(self._times, config.hall, config.bounds.cold_overrun)
         self._suspensions = clock.Suspensions()
-        self._meter = LinkMeter(
-            surroundings, self._connections, self._echo_age, self._times.usual_echo
-        )
+        self._meter = LinkMeter(context, self._connections, self._echo_age, self._times.usual_echo)
         self._links: dict[str, PeerLink] = {}
         self._names: dict[str, str] = {}
         """Entries by the address at which they were met."""
@@ -134,7 +132,7 @@
     async def run(self) -> None:
         """Serve until told to stop, then leave."""
         await self._start()
-        await self._around.stopping.wait()
+        await self._context.stopping.wait()
         await self._leave()
 
     def describe(self) -> dict[str, object]:
@@ -154,15 +152,15 @@
         self._loop = asyncio.get_running_loop()
         registration = HttpServer(_Registration(self))
         await registration.start(self._config.registration)
-        pages = OperatorPages(self._around.measures, self.describe)
-        await serve_pages(pages, self._config.metrics, self._around)
+        pages = OperatorPages(self._context.measures, self.describe)
+        await serve_pages(pages, self._config.metrics, self._context)
         self._gauges()
         self._meter.show()
-        self._around.event("started", role="target", node=self._config.name, life=self._life)
-        self._around.spawn(self._look_for_ever())
-        self._around.spawn(self._dialer.run())
-        self._around.spawn(self._tick_for_ever())
-        self._around.spawn(self._find_entries())
+        self._context.event("started", role="target", node=self._config.name, life=self._life)
+        self._context.spawn(self._look_for_ever())
+        self._context.spawn(self._dialer.run())
+        self._context.spawn(self._tick_for_ever())
+        self._context.spawn(self._find_entries())
 
     async def _leave(self) -> None:
         began = self._now()
@@ -172,8 +170,8 @@
             await asyncio.sleep(0.02)
         self._flush(heartbeat=True)
         await asyncio.sleep(LAST_WORDS)
-        self._around.cancel()
-        self._around.event(
+        self._context.cancel()
+        self._context.event(
             "stopped", after_ms=round((self._now() - began) * 1000), runs=self._worker.runs
         )
 
@@ -184,7 +182,7 @@
         return self._worker.echo_age(self._now())
 
     def _gauges(self) -> None:
-        measures = self._around.measures
+        measures = self._context.measures
         measures.gauge("paddleshunt_runs", "Runs at work.", lambda: self._worker.runs)
         measures.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._links))
 
@@ -216,7 +214,7 @@
         if is_claim or account.runner in self._claims:
             self._claims.keep(account)
         if is_claim:
-            self._around.spawn(self._confirm(account))
+            self._context.spawn(self._confirm(account))
         else:
             self._follow(account)
         return account in (self._worker.account, self._claims.newest(account.runner))
@@ -227,7 +225,7 @@
         if is_new or self._worker.account is None:
             self._claims.clear()
             name = str(account.runner)
-            self._around.event("runner_found", runner=name, service=account.service)
+            self._context.event("runner_found", runner=name, service=account.service)
         self._act(self._worker.runner_spoke(self._now(), account))
 
     async def _confirm(self, account: RunnerAccount) -> None:
@@ -243,7 +241,7 @@
             return
         account = self._claims.newest(account.runner) or account
         event = {True: "life_confirmed", False: "life_denied", None: "life_unanswered"}[answer]
-        self._around.event(event, runner=str(account.runner))
+        self._context.event(event, runner=str(account.runner))
         claim = self._worker.judge(account)
         if answer is False:
             self._worker.life_denied(account.runner)
@@ -262,10 +260,10 @@
         self._life_meant = life
         self._runner.expect(life)
         for account in self._claims.all():
-            self._around.spawn(self._confirm(account))
+            self._context.spawn(self._confirm(account))
 
     def _runner_ends(self, now: float, ends: RunnerEnds) -> None:
-        self._around.event("runner_left", runner=str(ends.runner))
+        self._context.event("runner_left", runner=str(ends.runner))
         self._claims.drop(ends.runner)
         self._act(self._worker.runner_left(now, ends.runner))
 
@@ -297,16 +295,16 @@
     def _note_first_look(self) -> None:
         if not self._looked:
             self._looked = True
-            self._around.event("runner_held")
+            self._context.event("runner_held")
 
     async def _start_run(self, order: StartRun) -> None:
         began = self._now()
         session_left = self._worker.session_left(began, order.entry)
         answer = await self._runner.start(order, lambda: self._may_send(order))
         now = self._now()
-        self._around.measures.stage("ordered", began - order.decided)
-        self._around.measures.stage("started", now - began)
-        self._around.event(
+        self._context.measures.stage("ordered", began - order.decided)
+        self._context.measures.stage("started", now - began)
+        self._context.event(
             "run_ordered",
             job=str(order.run.task),
             run=order.run.number,
@@ -330,9 +328,9 @@
         for effect in effects:
             match effect:
                 case StartRun():
-                    self._around.spawn(self._start_run(effect))
+                    self._context.spawn(self._start_run(effect))
                 case StopRun():
-                    self._around.spawn(self._stop_run(effect))
+                    self._context.spawn(self._stop_run(effect))
                 case Supersede():
                     self._runner.supersede()
                 case Log():
@@ -340,10 +338,10 @@
         self._flush_soon()
 
     def _log(self, log: Log) -> None:
-        self._around.log(log)
-        self._around.measures.event(log.event)
+        self._context.log(log)
+        self._context.measures.event(log.event)
         if log.event == "run_ended":
-            self._around.measures.ended(str(log.fields["end"]))
+            self._context.measures.ended(str(log.fields["end"]))
 
     # Entries.
 
@@ -385,11 +383,11 @@
         now = self._now()
         for body in frame.bodies:
             if isinstance(body, Entries):
-                entries = readable(body.entries, link.peer, self._around.refuse)
+                entries = readable(body.entries, link.peer, self._context.refuse)
                 self._choice.told(link.peer, entries)
                 self._note_addresses(now, entries)
             elif isinstance(body, EntryChanges):
-                joined = readable(body.joined, link.peer, self._around.refuse)
+                joined = readable(body.joined, link.peer, self._context.refuse)
                 self._choice.changed(link.peer, joined, body.gone)
                 self._note_addresses(now, joined)
         self._act(self._worker.heard(now, link.peer, frame))
@@ -398,7 +396,7 @@
 
     def refused(self, link: PeerLink, refusal: Refusal) -> None:
         """Take note of a message that can't be read."""
-        self._around.refuse(refusal)
+        self._context.refuse(refusal)
 
     def closed(self, link: PeerLink) -> None:
         """Take the end of a connection; its session goes on for a while."""
@@ -455,7 +453,7 @@
         try:
             entries = await self._store.entries()
         except StoreUnavailableError as problem:
-            self._around.event("store_unavailable", reason=str(problem))
+            self._context.event("store_unavailable", reason=str(problem))
             return
         self._choice.told(STORE, entries)
         self._names.update({entry.address: entry.name for entry in entries})
--- a/testing/benchmarks/test_days.py
+++ b/testing/benchmarks/test_days.py
@@ -3,9 +3,8 @@
 from pathlib import Path
 
 import pytest
-from rounds import RoundResult, read_rounds
-
 from days import Figures, Play, compare, spread
+from rounds import RoundResult, read_rounds
 
 
 def play(variant: str, day: str, seed: int) -> Play:
--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -16,7 +16,7 @@
 from paddleshunt_node.aio.logline import LogLines
 from paddleshunt_node.aio.measures import Measures
 from paddleshunt_node.aio.ports import RunnerPort
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_node.aio.targetservice import TargetConfig, TargetService
 from paddleshunt_platform.standins.ports import free_port
 from standins import RunnerStandIn, StoreStandIn
@@ -122,8 +122,8 @@
         self.callers = f"127.0.0.1:{free_port()}"
         self.ready = f"127.0.0.1:{free_port()}"
         self.registration = f"127.0.0.1:{free_port()}"
-        self.entry_around = Surroundings(LogLines("info"), Measures())
-        self.target_around = Surroundings(LogLines("info"), Measures())
+        self.entry_around = ProcessContext(LogLines("info"), Measures())
+        self.target_around = ProcessContext(LogLines("info"), Measures())
 
     async def start(self) -> None:
         await self.store.start()
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -24,7 +24,7 @@
 from paddleshunt_node.aio.logline import LogLines
 from paddleshunt_node.aio.measures import Measures
 from paddleshunt_node.aio.ports import OperatorWord, Submission
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_platform.standins.ports import free_port
 
 BUFFER = 4096
@@ -94,8 +94,8 @@
 
 
 def meter(connections: list[Connection], echo: float | None = None) -> LinkMeter:
-    around = Surroundings(LogLines("error"), Measures())
-    return LinkMeter(around, lambda: connections, lambda: echo)
+    context = ProcessContext(LogLines("error"), Measures())
+    return LinkMeter(context, lambda: connections, lambda: echo)
 
 
 def test_a_peer_that_does_not_read_is_no_pressure_and_several_are() -> None:
@@ -220,8 +220,8 @@
     recorder = Recorder()
     monkeypatch.setattr(linkmeter, "LinkPressure", lambda _: recorder)
     connections = [Dead(1000 if n < dead else 0) for n in range(640)]
-    around = Surroundings(LogLines("error"), Measures())
-    watched = LinkMeter(around, lambda: connections, lambda: None)
+    context = ProcessContext(LogLines("error"), Measures())
+    watched = LinkMeter(context, lambda: connections, lambda: None)
     watched.sample(1.0)
     (sample,) = recorder.samples
     assert (sample.holding, sample.unsent, sample.active) == (dead, 1000 * dead, 640)
@@ -295,8 +295,8 @@
         config = EntryConfig(
             name, "hall", self.callers, ready, self.peers, metrics, seeds, Bounds()
         )
-        self.around = Surroundings(LogLines("error"), Measures())
-        self.service = EntryService(config, Codec(), Store(), self.around)
+        self.context = ProcessContext(LogLines("error"), Measures())
+        self.service = EntryService(config, Codec(), Store(), self.context)
         self.task = asyncio.ensure_future(self.service.run())
         self._callers = HttpClient(self.callers)
         self._ready = HttpClient(ready)
@@ -330,7 +330,7 @@
         return head
 
     async def stop(self) -> None:
-        self.around.cancel()
+        self.context.cancel()
         self.task.cancel()
 
 
--- a/testing/node/aio/test_storefollower.py
+++ b/testing/node/aio/test_storefollower.py
@@ -9,7 +9,7 @@
 from paddleshunt_node.aio.logline import LogLines
 from paddleshunt_node.aio.measures import Measures
 from paddleshunt_node.aio.ports import OperatorWord, StoreUnavailableError
-from paddleshunt_node.aio.process import Surroundings
+from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_node.aio.storefollower import StoreFollower
 
 ENTRY = EntryAddress("e1", "10.0.0.1:7720")
@@ -66,8 +66,8 @@
 def test_an_address_that_may_have_lapsed_is_told_again_at_the_stores_return() -> None:
     async def scene() -> None:
         store = Store()
-        around = Surroundings(LogLines("error"), Measures())
-        follower = StoreFollower(store, around, ENTRY, Owner())
+        context = ProcessContext(LogLines("error"), Measures())
+        follower = StoreFollower(store, context, ENTRY, Owner())
         tasks = [
             asyncio.ensure_future(follower.follow()),
             asyncio.ensure_future(follower.announce()),
