--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
@@ -5,30 +5,30 @@
 from paddleshunt_core.leased.dispatcher import Dispatcher
 
 from paddleshunt_node.aio import clock
-from paddleshunt_node.aio.measures import Measures
+from paddleshunt_node.aio.metrics import Metrics
 
 
 def add_entry_gauges(
-    measures: Measures,
+    metrics: Metrics,
     dispatcher: Dispatcher,
     version: Callable[[], int],
     sessions: Callable[[], int],
 ) -> None:
     """Add an entry's gauges to its measures; `version` and `sessions` are asked each time."""
-    measures.gauge("paddleshunt_jobs", "Jobs held.", lambda: dispatcher.jobs)
-    measures.gauge("paddleshunt_catalog_version", "Version in force.", version)
-    measures.gauge("paddleshunt_sessions", "Targets in session.", sessions)
-    measures.gauge(
+    metrics.gauge("paddleshunt_jobs", "Jobs held.", lambda: dispatcher.jobs)
+    metrics.gauge("paddleshunt_catalog_version", "Version in force.", version)
+    metrics.gauge("paddleshunt_sessions", "Targets in session.", sessions)
+    metrics.gauge(
         "paddleshunt_confined_queues",
         "Queues confined to a few targets, as their tasks met lost runners too often.",
         lambda: dispatcher.confined_queues,
     )
-    measures.gauge(
+    metrics.gauge(
         "paddleshunt_report_age_seconds",
         "Age of the oldest target's report.",
         lambda: _report_age(dispatcher),
     )
-    measures.family(
+    metrics.family(
         "paddleshunt_kind_slowness",
         "How many times as long tasks take on a kind of host as on a usual one.",
         lambda: _kind_slowness(dispatcher),
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -168,10 +168,10 @@
         await self._callers.start(self._config.callers)
         await HttpServer(_Readiness(self)).start(self._config.ready)
         await serve(lambda: PeerLink(self._target_side, self._times.session), self._config.peers)
-        pages = OperatorPages(self._context.measures, self.describe)
+        pages = OperatorPages(self._context.metrics, self.describe)
         await serve_pages(pages, self._config.metrics, self._context)
         add_entry_gauges(
-            self._context.measures,
+            self._context.metrics,
             self._dispatcher,
             lambda: self.catalog.version,
             lambda: len(self._links),
@@ -265,7 +265,7 @@
         for effect in effects:
             if isinstance(effect, Log):
                 self._context.log(effect)
-                self._context.measures.event(effect.event)
+                self._context.metrics.event(effect.event)
             elif isinstance(effect, HandOn):
                 self._peers.tell_loss(effect.news)
             else:
@@ -277,8 +277,8 @@
         outcome = effect.outcome
         kind = type(outcome).__name__.lower()
         reason = "" if isinstance(outcome, Completed) else outcome.reason
-        self._context.measures.answered(kind, reason)
-        self._context.measures.stage("answered", effect.waited)
+        self._context.metrics.answered(kind, reason)
+        self._context.metrics.stage("answered", effect.waited)
         self._context.event(
             "job_answered",
             job=effect.key,
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -85,13 +85,13 @@
 
     def show(self) -> None:
         """Add the gauges to the metrics page."""
-        measures = self._context.measures
-        measures.gauge(
+        metrics = self._context.metrics
+        metrics.gauge(
             "paddleshunt_link_wait_seconds",
             "Time that bytes wait at the own link.",
             lambda: self.pressure.wait,
         )
-        measures.gauge(
+        metrics.gauge(
             "paddleshunt_link_level",
             "0 normal, 1 sheds what can wait, 2 takes no jobs.",
             lambda: self.pressure.level,
@@ -119,7 +119,7 @@
         )
         for log in self.pressure.sampled(now, sample):
             self._context.log(log)
-            self._context.measures.event(log.event)
+            self._context.metrics.event(log.event)
 
     def _held(self) -> dict[Metered, int]:
         """Return the bytes that asyncio holds, of the connections in use."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/measures.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
@@ -35,7 +35,7 @@
 
 
 @final
-class Measures:
+class Metrics:
     """All figures of one process."""
 
     def __init__(self) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/metricspage.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metricspage.py
@@ -6,7 +6,7 @@
 from aioprometheus.collectors import Counter, Gauge, Histogram, Registry
 from aioprometheus.formats import text
 
-from paddleshunt_node.aio.measures import Labelled, Series
+from paddleshunt_node.aio.metrics import Labelled, Series
 
 STAGE_BUCKETS = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2]
 """Upper bounds of the latency histograms, in seconds."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
@@ -12,15 +12,15 @@
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
 from paddleshunt_node.aio.logline import COLLECT_SECONDS, LogLines
-from paddleshunt_node.aio.measures import Measures
+from paddleshunt_node.aio.metrics import Metrics
 
 
 @final
 class OperatorPages:
     """Serves `/metrics` and `/dump`."""
 
-    def __init__(self, measures: Measures, dump: Callable[[], dict[str, object]]) -> None:
-        self._measures = measures
+    def __init__(self, metrics: Metrics, dump: Callable[[], dict[str, object]]) -> None:
+        self._metrics = metrics
         self._dump = dump
 
     def handle(self, exchange: Exchange) -> None:
@@ -29,7 +29,7 @@
             body = msgspec.json.encode(self._dump())
             exchange.respond(Response(200, body, "application/json"))
             return
-        exchange.respond(Response(200, self._measures.page(), "text/plain; version=0.0.4"))
+        exchange.respond(Response(200, self._metrics.page(), "text/plain; version=0.0.4"))
 
     def abandoned(self, exchange: Exchange) -> None:
         """Ignore a reader that left."""
@@ -39,9 +39,9 @@
 class ProcessContext:
     """Tasks, log and signals of one process."""
 
-    def __init__(self, lines: LogLines, measures: Measures) -> None:
+    def __init__(self, lines: LogLines, metrics: Metrics) -> None:
         self.lines = lines
-        self.measures = measures
+        self.metrics = metrics
         self.stopping = asyncio.Event()
         self._refusals = Refusals()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -75,7 +75,7 @@
 
     def refuse(self, refusal: Refusal) -> None:
         """Count a refused word, and write its line unless one like it was written lately."""
-        self.measures.refused(refusal.word.value)
+        self.metrics.refused(refusal.word.value)
         for log in self._refusals.take(clock.now(), refusal):
             self.log(log)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -152,7 +152,7 @@
         self._loop = asyncio.get_running_loop()
         registration = HttpServer(_Registration(self))
         await registration.start(self._config.registration)
-        pages = OperatorPages(self._context.measures, self.describe)
+        pages = OperatorPages(self._context.metrics, self.describe)
         await serve_pages(pages, self._config.metrics, self._context)
         self._gauges()
         self._meter.show()
@@ -182,9 +182,9 @@
         return self._worker.echo_age(self._now())
 
     def _gauges(self) -> None:
-        measures = self._context.measures
-        measures.gauge("paddleshunt_runs", "Runs at work.", lambda: self._worker.runs)
-        measures.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._links))
+        metrics = self._context.metrics
+        metrics.gauge("paddleshunt_runs", "Runs at work.", lambda: self._worker.runs)
+        metrics.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._links))
 
     def _now(self) -> float:
         now, suspended = self._suspensions.read()
@@ -302,8 +302,8 @@
         session_left = self._worker.session_left(began, order.entry)
         answer = await self._runner.start(order, lambda: self._may_send(order))
         now = self._now()
-        self._context.measures.stage("ordered", began - order.decided)
-        self._context.measures.stage("started", now - began)
+        self._context.metrics.stage("ordered", began - order.decided)
+        self._context.metrics.stage("started", now - began)
         self._context.event(
             "run_ordered",
             job=str(order.run.task),
@@ -339,9 +339,9 @@
 
     def _log(self, log: Log) -> None:
         self._context.log(log)
-        self._context.measures.event(log.event)
+        self._context.metrics.event(log.event)
         if log.event == "run_ended":
-            self._context.measures.ended(str(log.fields["end"]))
+            self._context.metrics.ended(str(log.fields["end"]))
 
     # Entries.
 
--- a/testing/council/test_words.py
+++ b/testing/council/test_words.py
@@ -33,7 +33,7 @@
 
 async def figures(system: System, process: str) -> str:
     around = system.target_around if process == "target" else system.entry_around
-    return around.measures.page().decode()
+    return around.metrics.page().decode()
 
 
 @pytest.mark.parametrize(
--- a/testing/node/aio/test_measures.py
+++ b/testing/node/aio/test_metrics.py
@@ -3,18 +3,18 @@
 import subprocess
 import sys
 
-from paddleshunt_node.aio.measures import STAGES_KEPT, Measures
+from paddleshunt_node.aio.metrics import STAGES_KEPT, Metrics
 
 
 def test_a_page_shows_counters_gauges_and_stages() -> None:
-    measures = Measures()
-    measures.answered("completed", "")
-    measures.answered("completed", "")
-    measures.ended("done")
-    measures.event("started")
-    measures.stage("ordered", 0.03)
-    measures.gauge("paddleshunt_runs", "Runs at work.", lambda: 3.0)
-    page = measures.page().decode()
+    metrics = Metrics()
+    metrics.answered("completed", "")
+    metrics.answered("completed", "")
+    metrics.ended("done")
+    metrics.event("started")
+    metrics.stage("ordered", 0.03)
+    metrics.gauge("paddleshunt_runs", "Runs at work.", lambda: 3.0)
+    page = metrics.page().decode()
     assert 'paddleshunt_job_answers_total{outcome="completed",reason=""} 2' in page
     assert 'paddleshunt_run_ends_total{end="done"} 1' in page
     assert 'paddleshunt_events_total{event="started"} 1' in page
@@ -23,28 +23,28 @@
 
 
 def test_a_later_page_goes_on_counting() -> None:
-    measures = Measures()
-    measures.gauge("paddleshunt_runs", "Runs at work.", lambda: 3.0)
+    metrics = Metrics()
+    metrics.gauge("paddleshunt_runs", "Runs at work.", lambda: 3.0)
     for seconds in (0.01, 0.5):
-        measures.stage("ordered", seconds)
-        measures.event("started")
-        page = measures.page().decode()
+        metrics.stage("ordered", seconds)
+        metrics.event("started")
+        page = metrics.page().decode()
     assert 'paddleshunt_stage_seconds_count{stage="ordered"} 2' in page
     assert 'paddleshunt_events_total{event="started"} 2' in page
 
 
 def test_times_are_handed_over_before_they_fill_the_memory() -> None:
-    measures = Measures()
+    metrics = Metrics()
     for _ in range(2 * STAGES_KEPT + 1):
-        measures.stage("ordered", 0.01)
-    assert len(measures._stages) == 1
-    page = measures.page().decode()
+        metrics.stage("ordered", 0.01)
+    assert len(metrics._stages) == 1
+    page = metrics.page().decode()
     assert f'paddleshunt_stage_seconds_count{{stage="ordered"}} {2 * STAGES_KEPT + 1}' in page
 
 
 def test_noting_does_not_import_the_library() -> None:
     program = (
-        "import sys; from paddleshunt_node.aio.measures import Measures; m = Measures();"
+        "import sys; from paddleshunt_node.aio.metrics import Metrics; m = Metrics();"
         "m.event('started'); m.stage('ordered', 0.1); print('aioprometheus' in sys.modules)"
     )
     result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True)
