--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -31,8 +31,8 @@
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.catalogpack import CatalogPackError, pack, unpack
 from paddleshunt_node.aio.dialer import Dialer
+from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
-from paddleshunt_node.aio.peerwords import readable
 
 GOSSIP_SECONDS = 0.4
 """Seconds between two messages to each other entry."""
@@ -168,7 +168,7 @@
 
     def note(self, entry: EntryAddress) -> None:
         """Take an entry's greeting."""
-        if not readable([entry], entry.name, self._owner.refuse):
+        if not valid_entries([entry], entry.name, self._owner.refuse):
             return
         known = self._known.get(entry.name)
         self._known[entry.name] = (entry, clock.now())
@@ -323,7 +323,7 @@
     def _take(self, link: PeerLink, body: Body) -> None:
         match body:
             case Entries():
-                for entry in readable(body.entries, link.peer, self._owner.refuse):
+                for entry in valid_entries(body.entries, link.peer, self._owner.refuse):
                     self.met(entry)
             case EvacuationNews():
                 if self._owner.evacuations.outdates(body.evacuated):
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/peerwords.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
@@ -7,14 +7,14 @@
 
 from paddleshunt_node.aio.sockets import AddressError, split_address
 
-MOST_NAME = 200
+MAX_NAME_LENGTH = 200
 """Signs of a name or a life; they stand in lines of the log, and in keys of a store, which may have
 as many bytes."""
 
 
-def problem_with(entry: EntryAddress) -> str:
+def entry_problem(entry: EntryAddress) -> str:
     """Return why an entry can't be dialled or named; empty if it can."""
-    if not 0 < len(entry.name) <= MOST_NAME or len(entry.life) > MOST_NAME:
+    if not 0 < len(entry.name) <= MAX_NAME_LENGTH or len(entry.life) > MAX_NAME_LENGTH:
         return "name or life too long, or no name"
     try:
         split_address(entry.address)
@@ -23,11 +23,13 @@
     return ""
 
 
-def readable(entries: Iterable[EntryAddress], sender: str, refuse: Refuse) -> list[EntryAddress]:
+def valid_entries(
+    entries: Iterable[EntryAddress], sender: str, refuse: Refuse
+) -> list[EntryAddress]:
     """Return the entries that can be dialled; the others that `sender` told of are refused."""
     found: list[EntryAddress] = []
     for entry in entries:
-        problem = problem_with(entry)
+        problem = entry_problem(entry)
         if problem:
             refuse(Refusal(Word.ADDRESS, sender, problem))
         else:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -26,10 +26,10 @@
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.claims import Claims
 from paddleshunt_node.aio.dialer import Dialer
+from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
 from paddleshunt_node.aio.linkmeter import LinkMeter, Metered
-from paddleshunt_node.aio.peerwords import readable
 from paddleshunt_node.aio.ports import (
     OtherLife,
     RegistrationCodec,
@@ -383,11 +383,11 @@
         now = self._now()
         for body in frame.bodies:
             if isinstance(body, Entries):
-                entries = readable(body.entries, link.peer, self._context.refuse)
+                entries = valid_entries(body.entries, link.peer, self._context.refuse)
                 self._choice.told(link.peer, entries)
                 self._note_addresses(now, entries)
             elif isinstance(body, EntryChanges):
-                joined = readable(body.joined, link.peer, self._context.refuse)
+                joined = valid_entries(body.joined, link.peer, self._context.refuse)
                 self._choice.changed(link.peer, joined, body.gone)
                 self._note_addresses(now, joined)
         self._act(self._worker.heard(now, link.peer, frame))
--- a/testing/council/test_outside.py
+++ b/testing/council/test_outside.py
@@ -24,8 +24,8 @@
 )
 from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
 from paddleshunt_council.replies import read_reply
+from paddleshunt_node.aio.entryvalidation import MAX_NAME_LENGTH
 from paddleshunt_node.aio.httpserver import Request, Response
-from paddleshunt_node.aio.peerwords import MOST_NAME
 from paddleshunt_node.aio.ports import RunnerEnds, Submission
 
 quick = settings(max_examples=100, derandomize=True, database=None, deadline=None)
@@ -167,7 +167,7 @@
         left_out = [read.remaining is None, read.cold == 0, read.labels == ()]
         assert len(refused) <= sum(left_out)
         assert in_room(read.capacity.processor, read.capacity.memory)
-        assert 0 < len(read.service) <= MOST_NAME and 0 < len(read.hall) <= MOST_NAME
+        assert 0 < len(read.service) <= MAX_NAME_LENGTH and 0 < len(read.hall) <= MAX_NAME_LENGTH
         assert 0 < read.sequence <= MOST_NUMBER and len(read.labels) <= MOST_LABELS
         assert read.remaining is None or read.remaining >= 0
         msgspec.msgpack.encode(read.capacity)
@@ -196,7 +196,7 @@
         need = read.job.need
         assert in_room(need.processor, need.memory) and not refused
         assert 0 < read.job.count <= MAX_TASKS and 0 <= read.job.deadline <= 60
-        assert read.job.estimate > 0 and len(read.job.rack) <= MOST_NAME
+        assert read.job.estimate > 0 and len(read.job.rack) <= MAX_NAME_LENGTH
         msgspec.msgpack.encode(need)
     else:
         assert read.status in (400, 503) and (read.status == 400) is bool(refused)
@@ -299,7 +299,7 @@
     refused: list[Refusal] = []
     entry = read_entry(Item("k", value), refused.append)
     assert (entry is None) is bool(refused)
-    assert entry is None or 0 < len(entry.name) <= MOST_NAME
+    assert entry is None or 0 < len(entry.name) <= MAX_NAME_LENGTH
 
 
 @pytest.mark.parametrize(
--- a/testing/node/aio/test_peerwords.py
+++ b/testing/node/aio/test_entryvalidation.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.wire import EntryAddress
-from paddleshunt_node.aio.peerwords import readable
+from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.sockets import AddressError, split_address
 
 GOOD = EntryAddress("e1", "10.0.0.1:7720")
@@ -57,7 +57,7 @@
 )
 def test_an_odd_entry_hides_no_other(odd: EntryAddress) -> None:
     refused: list[Refusal] = []
-    assert readable([GOOD, odd, GOOD], "e9", refused.append) == [GOOD, GOOD]
+    assert valid_entries([GOOD, odd, GOOD], "e9", refused.append) == [GOOD, GOOD]
     assert [(one.word, one.sender) for one in refused] == [(Word.ADDRESS, "e9")]
 
 
