--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -65,7 +65,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class OperatorWord:
+class OperatorUpdate:
     """What the operator has written: a newer configuration, evacuated halls; None: no news."""
 
     catalog: Catalog | None = None
@@ -75,7 +75,7 @@
 class StorePort(Protocol):
     """The platform's store, as far as an entry or a target needs it."""
 
-    async def next_word(self) -> OperatorWord:
+    async def next_update(self) -> OperatorUpdate:
         """Wait for what the operator writes, for a while; raises `StoreUnavailableError`."""
 
     async def announce(self, entry: EntryAddress, seconds: float) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -52,7 +52,7 @@
         reachable = True
         while True:
             try:
-                word = await self._store.next_word()
+                word = await self._store.next_update()
             except StoreUnavailableError as problem:
                 if reachable:
                     self._context.event("store_lost", reason=str(problem))
--- a/testing/council/test_catalog.py
+++ b/testing/council/test_catalog.py
@@ -21,7 +21,7 @@
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", b"{}")
-        assert (await store.next_word()).catalog is None
+        assert (await store.next_update()).catalog is None
         assert "routes" in refused[0].problem or "version" in refused[0].problem
 
     play(scene, StoreStandIn(), refused.append)
@@ -117,12 +117,12 @@
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
-        await store.next_word()
+        await store.next_update()
         standin.put("op/config", raw)
-        assert (await store.next_word()).catalog is None
+        assert (await store.next_update()).catalog is None
         assert (refused[-1].word, refused[-1].sender) == (Word.CONFIGURATION, "op/config")
         standin.put("op/config", config(10))
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.catalog is not None and word.catalog.version == 10
 
     play(scene, StoreStandIn(), refused.append)
@@ -133,9 +133,9 @@
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", config(8))
-        await store.next_word()
+        await store.next_update()
         standin.put("op/config", config(5))
-        assert (await store.next_word()).catalog is None
+        assert (await store.next_update()).catalog is None
         assert [one.problem for one in refused] == ["version 5 after 8"]
 
     play(scene, StoreStandIn(), refused.append)
--- a/testing/council/test_items.py
+++ b/testing/council/test_items.py
@@ -26,7 +26,7 @@
     refused: list[Refusal] = []
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.catalog is not None and word.catalog.version == 3
         assert word.evacuated == EvacuatedHalls(7, ("hall",))
         assert [one.word for one in refused] == [Word.STORE_ITEM]
@@ -96,12 +96,12 @@
         standin.put("op/config", config(3))
         if known:
             standin.put("op/evacuate/hall", b"{}")
-            await store.next_word()
+            await store.next_update()
         standin.odd = "op/evacuate/hall"
         standin.put("op/evacuate/hall", b"{}")
         standin.put("op/evacuate/depot", b"{}")
         standin.history_gone = True
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.evacuated is not None and word.evacuated.halls == ("depot", "hall")
 
     play(scene, OddStore())
@@ -113,7 +113,7 @@
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         standin.put("op/evacuate/", b"{}")
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.evacuated is not None and word.evacuated.halls == ()
         assert [one.word for one in refused] == [Word.EVACUATION]
 
@@ -123,12 +123,12 @@
 def test_an_event_that_can_not_be_read_is_seen_by_reading_all() -> None:
     async def scene(store: Store, standin: OddStore) -> None:
         standin.put("op/config", config(3))
-        await store.next_word()
+        await store.next_update()
         standin.odd = "op/evacuate/hall"
         standin.put("op/evacuate/hall", b"{}")
-        await store.next_word()
+        await store.next_update()
         standin.odd = ""
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.evacuated is not None and word.evacuated.halls == ("hall",)
 
     play(scene, OddStore())
@@ -139,10 +139,10 @@
         standin.put("op/config", config(3))
         standin.put("op/evacuate/hall", b"{}")
         standin.put("op/odd", b"{}")
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.evacuated is not None and word.evacuated.halls == ("hall",)
         standin.remove("op/evacuate/hall")
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.evacuated is not None and word.evacuated.halls == ()
 
     play(scene, KeylessStore())
@@ -151,11 +151,11 @@
 def test_an_item_that_is_ahead_of_the_store_does_not_hide_what_comes() -> None:
     async def scene(store: Store, standin: AheadStore) -> None:
         standin.put("op/config", config(3))
-        await store.next_word()
+        await store.next_update()
         standin.put("op/evacuate/ahead", b"{}")
-        await store.next_word()
+        await store.next_update()
         standin.put("op/config", config(4))
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.catalog is not None and word.catalog.version == 4
 
     play(scene, AheadStore())
--- a/testing/council/test_store.py
+++ b/testing/council/test_store.py
@@ -6,22 +6,22 @@
 import pytest
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_council.store import Store
-from paddleshunt_node.aio.ports import OperatorWord, StoreUnavailableError
+from paddleshunt_node.aio.ports import OperatorUpdate, StoreUnavailableError
 from standins import StoreStandIn
 from storescene import ENTRY, config, item, listed, play, raw_store
 
 
 def test_the_configuration_is_read_and_followed() -> None:
     async def scene(store: Store, standin: StoreStandIn) -> None:
-        assert (await store.next_word()).catalog is None
+        assert (await store.next_update()).catalog is None
         standin.put("op/config", config(3))
-        first = (await store.next_word()).catalog
+        first = (await store.next_update()).catalog
         assert first is not None and first.version == 3
         assert first.queues[0].prefix == "/q/"
         standin.put("op/config", config(8))
-        second = (await store.next_word()).catalog
+        second = (await store.next_update()).catalog
         assert second is not None and second.version == 8
-        assert (await store.next_word()).catalog is None
+        assert (await store.next_update()).catalog is None
 
     play(scene, StoreStandIn())
 
@@ -29,10 +29,10 @@
 def test_a_forgotten_history_is_read_anew() -> None:
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
-        await store.next_word()
+        await store.next_update()
         standin.put("op/config", config(4))
         standin.history_gone = True
-        fresh = (await store.next_word()).catalog
+        fresh = (await store.next_update()).catalog
         assert fresh is not None and fresh.version == 4
 
     play(scene, StoreStandIn())
@@ -42,14 +42,14 @@
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/evacuate/depot", b"{}")
         standin.put("op/config", config(3))
-        first = await store.next_word()
+        first = await store.next_update()
         assert first.catalog is not None
         assert first.evacuated == EvacuatedHalls(standin.revision, ("depot",))
         standin.put("op/evacuate/hall", b"{}")
-        second = await store.next_word()
+        second = await store.next_update()
         assert second.evacuated == EvacuatedHalls(standin.revision, ("depot", "hall"))
         standin.remove("op/evacuate/depot")
-        third = await store.next_word()
+        third = await store.next_update()
         assert third.evacuated == EvacuatedHalls(standin.revision, ("hall",))
 
     play(scene, StoreStandIn())
@@ -59,10 +59,10 @@
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         standin.put("op/evacuate/hall", b"{}")
-        await store.next_word()
+        await store.next_update()
         standin.remove("op/evacuate/hall")
         standin.history_gone = True
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.evacuated == EvacuatedHalls(standin.revision, ())
 
     play(scene, StoreStandIn())
@@ -71,13 +71,13 @@
 def test_a_watch_that_heard_nothing_does_not_move_on() -> None:
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
-        await store.next_word()
+        await store.next_update()
         before = standin.revision
         standin.deaf = True
         standin.put("op/evacuate/hall", b"{}")
-        assert await store.next_word() == OperatorWord()
+        assert await store.next_update() == OperatorUpdate()
         standin.deaf = False
-        await store.next_word()
+        await store.next_update()
         asked = [asked for path, asked in standin.calls if path.endswith("kv-watch")]
         assert [int(str(row["depends_on"])) for row in asked] == [before, before]
 
@@ -90,7 +90,7 @@
         standin.put("op/config", config(3))
         standin.put("op/evacuate/depot", b"{}")
         standin.put("op/evacuate/hall", b"{}")
-        word = await store.next_word()
+        word = await store.next_update()
         assert word.evacuated is not None and word.evacuated.halls == ("depot", "hall")
 
     play(scene, StoreStandIn())
@@ -101,7 +101,7 @@
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.status = status
         with pytest.raises(StoreUnavailableError, match=str(status)):
-            await store.next_word()
+            await store.next_update()
 
     play(scene, StoreStandIn())
 
@@ -144,11 +144,11 @@
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
-        await store.next_word()
+        await store.next_update()
         await store.announce(ENTRY, 12.0)
         standin.status = 503
         with pytest.raises(StoreUnavailableError):
-            await store.next_word()
+            await store.next_update()
         standin.status = 200
         before = writes(standin)
         await store.announce(ENTRY, 12.0)
@@ -194,7 +194,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + 0.5
         while loop.time() < end:
-            await store.next_word()
+            await store.next_update()
         assert len(standin.calls) <= 5
 
     play(scene, StoreStandIn())
@@ -232,7 +232,7 @@
 def test_a_page_that_can_not_be_read_is_a_store_that_is_away(page: bytes) -> None:
     async def scene(store: Store, standin: StoreStandIn) -> None:
         with pytest.raises(StoreUnavailableError, match="unreadable"):
-            await store.next_word()
+            await store.next_update()
         with pytest.raises(StoreUnavailableError, match="unreadable"):
             await store.entries()
 
@@ -250,20 +250,20 @@
             return 200, json.loads(pages[0])
 
     async def scene(store: Store, standin: OddStore) -> None:
-        assert (await store.next_word()).evacuated == EvacuatedHalls(7, ("hall",))
+        assert (await store.next_update()).evacuated == EvacuatedHalls(7, ("hall",))
         del pages[0]
         standin.history_gone = True
         with pytest.raises(StoreUnavailableError, match="without items"):
-            await store.next_word()
+            await store.next_update()
         pages[0] = listed(item("op/config", config(3)))
-        assert (await store.next_word()).evacuated == EvacuatedHalls(7, ())
+        assert (await store.next_update()).evacuated == EvacuatedHalls(7, ())
 
     play(scene, OddStore())
 
 
 def test_a_new_store_may_leave_out_that_it_is_empty() -> None:
     async def scene(store: Store, standin: StoreStandIn) -> None:
-        assert (await store.next_word()).evacuated == EvacuatedHalls(1, ())
+        assert (await store.next_update()).evacuated == EvacuatedHalls(1, ())
         assert await store.entries() == []
 
     play(scene, raw_store(b'{"at":1}')())
@@ -283,8 +283,8 @@
 
     async def scene(store: Store, standin: StuckStore) -> None:
         standin.put("op/config", config(3))
-        await store.next_word()
+        await store.next_update()
         with pytest.raises(StoreUnavailableError, match="revision"):
-            await store.next_word()
+            await store.next_update()
 
     play(scene, StuckStore())
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -23,7 +23,7 @@
 from paddleshunt_node.aio.linkmeter import ASKED, LinkMeter
 from paddleshunt_node.aio.logline import LogLines
 from paddleshunt_node.aio.metrics import Metrics
-from paddleshunt_node.aio.ports import OperatorWord, Submission
+from paddleshunt_node.aio.ports import OperatorUpdate, Submission
 from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_platform.standins.ports import free_port
 
@@ -236,9 +236,9 @@
 class Store:
     """A store with one configuration."""
 
-    async def next_word(self) -> OperatorWord:
+    async def next_update(self) -> OperatorUpdate:
         await asyncio.sleep(0.05)
-        return OperatorWord(CATALOG)
+        return OperatorUpdate(CATALOG)
 
     async def announce(self, entry: EntryAddress, seconds: float) -> None:
         pass
--- a/testing/node/aio/test_storefollower.py
+++ b/testing/node/aio/test_storefollower.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_node.aio.logline import LogLines
 from paddleshunt_node.aio.metrics import Metrics
-from paddleshunt_node.aio.ports import OperatorWord, StoreUnavailableError
+from paddleshunt_node.aio.ports import OperatorUpdate, StoreUnavailableError
 from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_node.aio.storefollower import StoreFollower
 
@@ -23,9 +23,9 @@
     def __init__(self) -> None:
         self.up = True
         self.announced: list[float] = []
-        self.word = OperatorWord()
+        self.word = OperatorUpdate()
 
-    async def next_word(self) -> OperatorWord:
+    async def next_update(self) -> OperatorUpdate:
         await asyncio.sleep(0.05)
         if not self.up:
             raise StoreUnavailableError("down")
