--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -44,7 +44,7 @@
     def expect(self, life: RunnerLife | None) -> None:
         """Mean another life of the runner with what follows than before; None for any."""
 
-    def rename(self, life: RunnerLife) -> None:
+    def refine_identity(self, life: RunnerLife) -> None:
         """Take a fuller name of the life that is meant."""
 
     def supersede(self) -> None:
@@ -56,7 +56,7 @@
     async def stop(self, order: StopRun) -> bool:
         """Order a stop; return whether the runner confirmed it."""
 
-    async def lives(self, life: RunnerLife) -> bool | None:
+    async def is_current_life(self, life: RunnerLife) -> bool | None:
         """Ask whether this life of the runner is the one there; None: that isn't said."""
 
     async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
@@ -109,7 +109,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class RunnerEnds:
+class RunnerDeregistration:
     """A runner's word that it ends now; an id alone may be of any of its lives."""
 
     runner: RunnerLife
@@ -118,11 +118,11 @@
 class RegistrationCodec(Protocol):
     """Turns the requests by which a runner registers into accounts."""
 
-    def read(self, request: Request) -> RunnerAccount | RunnerEnds | Response:
+    def read(self, request: Request) -> RunnerAccount | RunnerDeregistration | Response:
         """Return what the runner says, or the answer to a request that is none."""
 
     def acknowledge(self) -> Response:
         """Return the answer that takes note of it."""
 
-    def pass_over(self) -> Response:
+    def decline(self) -> Response:
         """Return the answer to an account that nothing follows from; it is to be said again."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -33,7 +33,7 @@
 from paddleshunt_node.aio.ports import (
     OtherLife,
     RegistrationCodec,
-    RunnerEnds,
+    RunnerDeregistration,
     RunnerPort,
     StorePort,
     StoreUnavailableError,
@@ -200,11 +200,11 @@
         if isinstance(read, Response):
             exchange.respond(read)
             return
-        if isinstance(read, RunnerEnds):
+        if isinstance(read, RunnerDeregistration):
             self._runner_ends(self._now(), read)
         elif not self._take_account(read) and read.leaving:
             # An acknowledgement would bind: without one the runner says it again.
-            exchange.respond(self._codec.pass_over())
+            exchange.respond(self._codec.decline())
             return
         exchange.respond(self._codec.acknowledge())
 
@@ -235,7 +235,7 @@
         ended: it may be the next one, which registers while this one drains.
         """
         changes = self._changes
-        answer = await self._runner.lives(account.runner)
+        answer = await self._runner.is_current_life(account.runner)
         if changes != self._changes:
             # It may be of before that change; a claim that stands has been asked about again.
             return
@@ -254,7 +254,7 @@
         if self._changes == self._worker.life_changes:
             if life is not None and life != self._life_meant:
                 self._life_meant = life
-                self._runner.rename(life)
+                self._runner.refine_identity(life)
             return
         self._changes = self._worker.life_changes
         self._life_meant = life
@@ -262,7 +262,7 @@
         for account in self._claims.all():
             self._context.spawn(self._confirm(account))
 
-    def _runner_ends(self, now: float, ends: RunnerEnds) -> None:
+    def _runner_ends(self, now: float, ends: RunnerDeregistration) -> None:
         self._context.event("runner_left", runner=str(ends.runner))
         self._claims.drop(ends.runner)
         self._act(self._worker.runner_left(now, ends.runner))
--- a/testing/council/test_outside.py
+++ b/testing/council/test_outside.py
@@ -26,7 +26,7 @@
 from paddleshunt_council.replies import read_reply
 from paddleshunt_node.aio.entryvalidation import MAX_NAME_LENGTH
 from paddleshunt_node.aio.httpserver import Request, Response
-from paddleshunt_node.aio.ports import RunnerEnds, Submission
+from paddleshunt_node.aio.ports import RunnerDeregistration, Submission
 
 quick = settings(max_examples=100, derandomize=True, database=None, deadline=None)
 
@@ -180,7 +180,7 @@
     body = json.dumps(BEAT).encode()
     request = Request("POST", path + runner, {}, body)
     read = Registration(refused.append).read(request)
-    if isinstance(read, RunnerAccount | RunnerEnds):
+    if isinstance(read, RunnerAccount | RunnerDeregistration):
         assert is_runner_id(read.runner.id) and not refused
     else:
         assert isinstance(read, Response) and read.status == 400 and refused
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
 from paddleshunt_node.aio.httpserver import Request, Response
-from paddleshunt_node.aio.ports import RunnerEnds
+from paddleshunt_node.aio.ports import RunnerDeregistration
 
 BEAT = (
     b'{"service":"s","address":"10.0.0.9:8080","zone":"hall","state":"draining","remaining_ms":1500,'
@@ -42,7 +42,7 @@
 )
 def test_a_runner_says_that_it_ends(body: bytes, born: int) -> None:
     ends = read("/paddleshunt/Instances.Deregister/i-7", body)
-    assert ends == RunnerEnds(RunnerLife("i-7", born))
+    assert ends == RunnerDeregistration(RunnerLife("i-7", born))
 
 
 ODD_STARTS = [b"null", b'"17"', b"1.5", b"-1", b"true", b"[17]", b"9" * 30]
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -179,7 +179,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         runner.expect(RunnerLife("i-1"))
         await runner.look(FIRST_LOOK)
-        runner.rename(RunnerLife("i-1", 20))
+        runner.refine_identity(RunnerLife("i-1", 20))
         assert await runner.start(order(), always) is StartAnswer.STARTED
         assert standin.calls[-1][1]["fencing_token"] == 5000
 
--- a/testing/council/test_withdrawn.py
+++ b/testing/council/test_withdrawn.py
@@ -32,8 +32,8 @@
     def expect(self, life: RunnerLife | None) -> None:
         self._port.expect(life)
 
-    def rename(self, life: RunnerLife) -> None:
-        self._port.rename(life)
+    def refine_identity(self, life: RunnerLife) -> None:
+        self._port.refine_identity(life)
 
     def supersede(self) -> None:
         self._port.supersede()
