--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -7,11 +7,11 @@
 
 from paddleshunt_node import listening
 
-MOST_HOST = 253
-"""Signs of a host's name, as in DNS; one of its parts has at most `MOST_PART`."""
+MAX_HOST_LENGTH = 253
+"""Signs of a host's name, as in DNS; one of its parts has at most `MAX_LABEL_LENGTH`."""
 
-MOST_PART = 63
-LAST_PORT = 65535
+MAX_LABEL_LENGTH = 63
+MAX_PORT = 65535
 
 _HOST = re.compile(r"[A-Za-z0-9._:%\[\]-]+", re.ASCII)
 _PORT = re.compile(r"[0-9]{1,5}", re.ASCII)
@@ -25,16 +25,16 @@
     """Return the host and the port of host:port; raises `AddressError`."""
     host, _, port = address.rpartition(":")
     if not _is_host(host):
-        raise AddressError(f"no host in {address[:MOST_HOST]!r}")
-    if not _PORT.fullmatch(port) or not 0 <= int(port) <= LAST_PORT:
-        raise AddressError(f"no port in {address[:MOST_HOST]!r}")
+        raise AddressError(f"no host in {address[:MAX_HOST_LENGTH]!r}")
+    if not _PORT.fullmatch(port) or not 0 <= int(port) <= MAX_PORT:
+        raise AddressError(f"no port in {address[:MAX_HOST_LENGTH]!r}")
     return host, int(port)
 
 
 def _is_host(host: str) -> bool:
-    if len(host) > MOST_HOST or not _HOST.fullmatch(host):
+    if len(host) > MAX_HOST_LENGTH or not _HOST.fullmatch(host):
         return False
-    return all(0 < len(part) <= MOST_PART for part in host.split("."))
+    return all(0 < len(part) <= MAX_LABEL_LENGTH for part in host.split("."))
 
 
 async def serve(factory: Callable[[], asyncio.BaseProtocol], address: str) -> asyncio.Server:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -14,7 +14,7 @@
 ANNOUNCE_SECONDS = 12.0
 """Seconds for which the store keeps this entry's address."""
 
-STORE_PAUSE = 0.3
+STORE_RETRY_SECONDS = 0.3
 """Seconds before the store is called again after a failure."""
 
 
@@ -57,7 +57,7 @@
                 if reachable:
                     self._context.event("store_lost", reason=str(problem))
                 reachable = False
-                await asyncio.sleep(STORE_PAUSE)
+                await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
             if not reachable:
                 self._context.event("store_regained")
@@ -82,7 +82,7 @@
                     for known in await self._store.entries():
                         self._owner.met(known)
             except StoreUnavailableError:
-                await asyncio.sleep(STORE_PAUSE)
+                await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
             await self._until_due()
 
--- a/testing/council/test_turned_away.py
+++ b/testing/council/test_turned_away.py
@@ -89,7 +89,7 @@
     monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
     monkeypatch.setattr(storefollower, "ANNOUNCE_SECONDS", RARE_SECONDS)
-    assert storefollower.STORE_PAUSE <= MOST_PAUSE
+    assert storefollower.STORE_RETRY_SECONDS <= MOST_PAUSE
     assert asyncio.run(asyncio.wait_for(_back(SoakStore(), fault), 60)) <= BACK_CALLS
 
 
