--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/logline.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/logwriter.py
@@ -59,18 +59,18 @@
         self.dropped = 0
 
     @property
-    def holds(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether lines wait to be written."""
         return bool(self._collected)
 
     def emit(self, record: logging.LogRecord) -> None:
         line = self.format(record).encode() + b"\n"
         if self._bytes + len(line) > COLLECTED_BYTES:
-            self.write_out()
+            self.flush()
         self._collected.append(line)
         self._bytes += len(line)
 
-    def write_out(self) -> None:
+    def flush(self) -> None:
         """Write what was collected."""
         if not self._collected:
             return
@@ -88,7 +88,7 @@
 
 
 @final
-class LogLines:
+class LogWriter:
     """Writes the events of one process.
 
     With `collect`, lines are written in blocks: what explains a failed request at once, the others
@@ -97,7 +97,7 @@
     """
 
     def __init__(self, level: str = "info", *, collect: bool = False) -> None:
-        _look_up_nothing()
+        _skip_caller_lookup()
         self._collect = collect
         self._handler = _StandardOutput()
         formatter = KeyValueFormatter(
@@ -120,13 +120,13 @@
         return self._handler.dropped
 
     @property
-    def holds(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether lines wait to be written."""
-        return self._handler.holds
+        return self._handler.has_pending
 
     def flush(self) -> None:
         """Write what was collected."""
-        self._handler.write_out()
+        self._handler.flush()
 
     def write(self, now: float, log: Log) -> None:
         """Write the line of one event, if its kind's budget allows."""
@@ -144,7 +144,7 @@
         explains = name in FAILURE_EVENTS
         budget = FAILED_LINES_A_SECOND if explains else LINES_A_SECOND
         if self._written[name] <= budget:
-            self._line(name, fields)
+            self._write_line(name, fields)
         if explains or not self._collect:
             self.flush()
 
@@ -153,17 +153,17 @@
         for name, count in self._written.items():
             budget = FAILED_LINES_A_SECOND if name in FAILURE_EVENTS else LINES_A_SECOND
             if count > budget:
-                self._line("lines_left_out", {"kind": name, "lines": count - budget})
+                self._write_line("lines_left_out", {"kind": name, "lines": count - budget})
         self._written.clear()
         if self._handler.dropped:
-            self._line("lines_dropped", {"lines": self._handler.dropped})
+            self._write_line("lines_dropped", {"lines": self._handler.dropped})
             self._handler.dropped = 0
 
-    def _line(self, name: str, fields: dict[str, str | int | float]) -> None:
+    def _write_line(self, name: str, fields: dict[str, str | int | float]) -> None:
         self._logger.info(name, extra=fields)
 
 
-def _look_up_nothing() -> None:
+def _skip_caller_lookup() -> None:
     """Let `logging` look up neither process, thread nor place in the code, as no line tells them.
 
     The process's number alone is a system call a line.
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
@@ -11,7 +11,7 @@
 
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
-from paddleshunt_node.aio.logline import COLLECT_SECONDS, LogLines
+from paddleshunt_node.aio.logwriter import COLLECT_SECONDS, LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 
 
@@ -39,8 +39,8 @@
 class ProcessContext:
     """Tasks, log and signals of one process."""
 
-    def __init__(self, lines: LogLines, metrics: Metrics) -> None:
-        self.lines = lines
+    def __init__(self, log_writer: LogWriter, metrics: Metrics) -> None:
+        self.log_writer = log_writer
         self.metrics = metrics
         self.stopping = asyncio.Event()
         self._refusals = Refusals()
@@ -65,12 +65,12 @@
 
     def log(self, log: Log) -> None:
         """Write one event's line."""
-        self.lines.write(clock.now(), log)
+        self.log_writer.write(clock.now(), log)
         self._flush_in_time()
 
     def event(self, name: str, /, **fields: str | int | float) -> None:
         """Write one event's line."""
-        self.lines.event(clock.now(), name, **fields)
+        self.log_writer.event(clock.now(), name, **fields)
         self._flush_in_time()
 
     def refuse(self, refusal: Refusal) -> None:
@@ -86,17 +86,17 @@
 
     def _flush_in_time(self) -> None:
         """Write collected lines before long."""
-        if self._flushing or not self.lines.holds:
+        if self._flushing or not self.log_writer.has_pending:
             return
         if self._loop is None:
-            self.lines.flush()
+            self.log_writer.flush()
             return
         self._flushing = True
         self._loop.call_later(COLLECT_SECONDS, self._flush)
 
     def _flush(self) -> None:
         self._flushing = False
-        self.lines.flush()
+        self.log_writer.flush()
 
     def _finished(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -13,7 +13,7 @@
 from paddleshunt_council.store import Store
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
 from paddleshunt_node.aio.httpclient import Answer, CallError, HttpClient
-from paddleshunt_node.aio.logline import LogLines
+from paddleshunt_node.aio.logwriter import LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 from paddleshunt_node.aio.ports import RunnerPort
 from paddleshunt_node.aio.process import ProcessContext
@@ -122,8 +122,8 @@
         self.callers = f"127.0.0.1:{free_port()}"
         self.ready = f"127.0.0.1:{free_port()}"
         self.registration = f"127.0.0.1:{free_port()}"
-        self.entry_around = ProcessContext(LogLines("info"), Metrics())
-        self.target_around = ProcessContext(LogLines("info"), Metrics())
+        self.entry_around = ProcessContext(LogWriter("info"), Metrics())
+        self.target_around = ProcessContext(LogWriter("info"), Metrics())
 
     async def start(self) -> None:
         await self.store.start()
--- a/testing/council/test_turned_away.py
+++ b/testing/council/test_turned_away.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_council.store import ENTRIES_PREFIX, Store
 from paddleshunt_node.aio import storefollower
-from paddleshunt_node.aio.logline import LogLines
+from paddleshunt_node.aio.logwriter import LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 from paddleshunt_node.aio.process import ProcessContext
 from paddleshunt_node.aio.storefollower import StoreFollower
@@ -59,7 +59,7 @@
     port = free_port()
     await store.listen("e1", ("127.0.0.1", port))
     store.put("op/config", CONFIG)
-    around = ProcessContext(LogLines("error"), Metrics())
+    around = ProcessContext(LogWriter("error"), Metrics())
     client = Store(f"127.0.0.1:{port}", 1000)
     follower = StoreFollower(client, around, ENTRY, Owner())
     loops = (store.run(), follower.follow(), follower.announce())
--- a/testing/node/aio/test_clock.py
+++ b/testing/node/aio/test_clock.py
@@ -14,7 +14,7 @@
 CLOCKS = {"monotonic", "monotonic_ns", "perf_counter", "clock_gettime", "call_at"}
 OF_THE_LOOP = "time"
 STEADY = "steady"
-WALL_CLOCK = {"logline.py"}
+WALL_CLOCK = {"logwriter.py"}
 """The time of day, for the lines of the log; nothing is decided by it."""
 
 ESTIMATES = {"runner.py"}
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -21,7 +21,7 @@
 from paddleshunt_node.aio.httpclient import HttpClient
 from paddleshunt_node.aio.httpserver import Request, Response
 from paddleshunt_node.aio.linkmeter import ASKED, LinkMeter
-from paddleshunt_node.aio.logline import LogLines
+from paddleshunt_node.aio.logwriter import LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 from paddleshunt_node.aio.ports import OperatorUpdate, Submission
 from paddleshunt_node.aio.process import ProcessContext
@@ -94,7 +94,7 @@
 
 
 def meter(connections: list[Connection], echo: float | None = None) -> LinkMeter:
-    context = ProcessContext(LogLines("error"), Metrics())
+    context = ProcessContext(LogWriter("error"), Metrics())
     return LinkMeter(context, lambda: connections, lambda: echo)
 
 
@@ -220,7 +220,7 @@
     recorder = Recorder()
     monkeypatch.setattr(linkmeter, "LinkPressure", lambda _: recorder)
     connections = [Dead(1000 if n < dead else 0) for n in range(640)]
-    context = ProcessContext(LogLines("error"), Metrics())
+    context = ProcessContext(LogWriter("error"), Metrics())
     watched = LinkMeter(context, lambda: connections, lambda: None)
     watched.sample(1.0)
     (sample,) = recorder.samples
@@ -295,7 +295,7 @@
         config = EntryConfig(
             name, "hall", self.callers, ready, self.peers, metrics, seeds, Bounds()
         )
-        self.context = ProcessContext(LogLines("error"), Metrics())
+        self.context = ProcessContext(LogWriter("error"), Metrics())
         self.service = EntryService(config, Codec(), Store(), self.context)
         self.task = asyncio.ensure_future(self.service.run())
         self._callers = HttpClient(self.callers)
--- a/testing/node/aio/test_logline.py
+++ b/testing/node/aio/test_logwriter.py
@@ -2,11 +2,11 @@
 
 import pytest
 from paddleshunt_core.events import note
-from paddleshunt_node.aio.logline import (
+from paddleshunt_node.aio.logwriter import (
     COLLECTED_BYTES,
     FAILED_LINES_A_SECOND,
     LINES_A_SECOND,
-    LogLines,
+    LogWriter,
 )
 
 
@@ -17,7 +17,7 @@
 def test_lines_beyond_the_budget_are_counted(
     event: str, budget: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    lines = LogLines()
+    lines = LogWriter()
     for _ in range(budget + 7):
         lines.write(10.5, note(event, "k", after_ms=3))
     lines.event(11.5, "started")
@@ -27,31 +27,31 @@
 
 
 def test_a_full_pipe_drops_and_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = LogLines()
+    lines = LogWriter()
 
     def full(descriptor: int, data: bytes) -> int:
         raise BlockingIOError
 
-    monkeypatch.setattr("paddleshunt_node.aio.logline.os.write", full)
+    monkeypatch.setattr("paddleshunt_node.aio.logwriter.os.write", full)
     lines.event(1.0, "started")
     assert lines.dropped == 1
 
 
 def test_collected_lines_are_written_in_one_block(capfd: pytest.CaptureFixture[str]) -> None:
-    lines = LogLines(collect=True)
+    lines = LogWriter(collect=True)
     lines.event(1.0, "job_admitted")
     lines.event(1.0, "job_placed")
-    assert lines.holds
+    assert lines.has_pending
     assert capfd.readouterr().out == ""
     lines.flush()
-    assert not lines.holds
+    assert not lines.has_pending
     assert len(capfd.readouterr().out.splitlines()) == 2
 
 
 def test_what_explains_a_failed_request_is_not_held_back(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    lines = LogLines(collect=True)
+    lines = LogWriter(collect=True)
     lines.event(1.0, "job_admitted")
     lines.event(1.0, "task_returned")
     assert [line.split()[1] for line in capfd.readouterr().out.splitlines()] == [
@@ -67,8 +67,8 @@
         blocks.append(data)
         return len(data)
 
-    monkeypatch.setattr("paddleshunt_node.aio.logline.os.write", take)
-    lines = LogLines(collect=True)
+    monkeypatch.setattr("paddleshunt_node.aio.logwriter.os.write", take)
+    lines = LogWriter(collect=True)
     for _ in range(100):
         lines.event(1.0, "job_admitted", queue="q" * 40)
     lines.flush()
@@ -77,12 +77,12 @@
 
 
 def test_a_full_pipe_counts_each_line_of_a_block(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = LogLines(collect=True)
+    lines = LogWriter(collect=True)
 
     def full(descriptor: int, data: bytes) -> int:
         raise BlockingIOError
 
-    monkeypatch.setattr("paddleshunt_node.aio.logline.os.write", full)
+    monkeypatch.setattr("paddleshunt_node.aio.logwriter.os.write", full)
     for _ in range(3):
         lines.event(1.0, "job_admitted")
     lines.flush()
--- a/testing/node/aio/test_storefollower.py
+++ b/testing/node/aio/test_storefollower.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.wire import EntryAddress
-from paddleshunt_node.aio.logline import LogLines
+from paddleshunt_node.aio.logwriter import LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 from paddleshunt_node.aio.ports import OperatorUpdate, StoreUnavailableError
 from paddleshunt_node.aio.process import ProcessContext
@@ -66,7 +66,7 @@
 def test_an_address_that_may_have_lapsed_is_told_again_at_the_stores_return() -> None:
     async def scene() -> None:
         store = Store()
-        context = ProcessContext(LogLines("error"), Metrics())
+        context = ProcessContext(LogWriter("error"), Metrics())
         follower = StoreFollower(store, context, ENTRY, Owner())
         tasks = [
             asyncio.ensure_future(follower.follow()),
