--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
@@ -18,7 +18,7 @@
 CONNECT_TIMEOUT = 0.4
 """Seconds for a connection to be made; the first packet may be lost."""
 
-MAX_ANSWER = 16 << 20
+MAX_RESPONSE_BYTES = 16 << 20
 """Bytes of an answer."""
 
 FIRST_FINAL_STATUS = 200
@@ -40,13 +40,13 @@
 
 
 @final
-class NoAnswerError(CallError):
+class NoResponseError(CallError):
     """The request may have been carried out, or may be yet."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HttpResponse:
     """A whole answer; header names are in lower case."""
 
     status: int
@@ -72,7 +72,7 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
         may_send: Callable[[], bool] | None = None,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Send a request and return the answer; raises `CallError`.
 
         `may_send` is asked once a connection is there, with nothing awaited until the request is
@@ -99,7 +99,7 @@
             connection.close()
             if isinstance(error, TimeoutError):
                 self._drop_unproven(began)
-            raise NoAnswerError(str(error) or "timed out") from error
+            raise NoResponseError(str(error) or "timed out") from error
         except asyncio.CancelledError:
             connection.close()
             raise
@@ -139,7 +139,7 @@
         self._loop = loop
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._waiting: asyncio.Future[Answer] | None = None
+        self._waiting: asyncio.Future[HttpResponse] | None = None
         self._headers: dict[str, str] = {}
         self._body = bytearray()
         self.answered = clock.now()
@@ -164,7 +164,7 @@
         except httptools.HttpParserError as error:
             self._break_off(OSError(f"unreadable answer: {error}"))
 
-    async def exchange(self, head: bytes, body: bytes, timeout: float) -> Answer:
+    async def exchange(self, head: bytes, body: bytes, timeout: float) -> HttpResponse:
         if self._transport is None:
             raise ConnectionResetError("connection ended")
         self._waiting = self._loop.create_future()
@@ -189,7 +189,7 @@
 
     def on_body(self, body: bytes) -> None:
         self._body += body
-        if len(self._body) > MAX_ANSWER:
+        if len(self._body) > MAX_RESPONSE_BYTES:
             self._break_off(OSError("answer too long"))
 
     def on_message_complete(self) -> None:
@@ -200,7 +200,7 @@
         if not self._parser.should_keep_alive() and self._transport is not None:
             self._transport.close()
         if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_result(Answer(status, self._headers, bytes(self._body)))
+            self._waiting.set_result(HttpResponse(status, self._headers, bytes(self._body)))
 
     def _break_off(self, error: Exception) -> None:
         self._fail(error)
--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -12,7 +12,7 @@
 from paddleshunt_council.runner import Runner
 from paddleshunt_council.store import Store
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
-from paddleshunt_node.aio.httpclient import Answer, CallError, HttpClient
+from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse
 from paddleshunt_node.aio.logwriter import LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 from paddleshunt_node.aio.ports import RunnerPort
@@ -175,7 +175,7 @@
         self.check_runs()
         return (await call(self.ready, "GET", "/paddleshunt/readiness")).status == 200
 
-    async def submit(self, key: str, milliseconds: int, *, wait: float = 10.0) -> Answer:
+    async def submit(self, key: str, milliseconds: int, *, wait: float = 10.0) -> HttpResponse:
         step = {"count": 3, "cpu": 1000, "mem_mb": 10, "estimated_ms": milliseconds}
         job = {"spec": str(milliseconds), "steps": [step], "best_effort": True}
         return await HttpClient(self.callers).call(
@@ -197,7 +197,7 @@
         await asyncio.gather(self.entry_run, self.target_run, return_exceptions=True)
 
 
-async def call(address: str, method: str, path: str, body: bytes = b"") -> Answer:
+async def call(address: str, method: str, path: str, body: bytes = b"") -> HttpResponse:
     return await HttpClient(address).call(method, path, 5.0, body)
 
 
--- a/testing/council/soakcallers.py
+++ b/testing/council/soakcallers.py
@@ -7,7 +7,7 @@
 from time import monotonic
 
 from deployment import Deployment, Process
-from paddleshunt_node.aio.httpclient import Answer, CallError, HttpClient, NotSentError
+from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse, NotSentError
 from record import Record, TrySeen
 from soakconfig import PREFIX
 
@@ -53,7 +53,7 @@
         self._clients: list[HttpClient] = []
         """Kept, so that answered connections stay open as long as their entry leaves them so."""
         self._jobs: set[asyncio.Task[None]] = set()
-        self._silent: set[asyncio.Future[Answer]] = set()
+        self._silent: set[asyncio.Future[HttpResponse]] = set()
         """Calls that were not answered in time, whose connections stay open."""
         self._ready: set[str] = set()
         self.rate = 0.0
--- a/testing/council/test_soakwire.py
+++ b/testing/council/test_soakwire.py
@@ -6,7 +6,7 @@
 
 import pytest
 import soakwire
-from paddleshunt_node.aio.httpclient import Answer, CallError, HttpClient
+from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
 from paddleshunt_platform.standins.ports import free_port
 from soakwire import MUTE, RESETS, UNANSWERED, Wire
@@ -42,7 +42,7 @@
         pass
 
 
-async def ask(client: HttpClient, seconds: float = PATIENCE) -> Answer:
+async def ask(client: HttpClient, seconds: float = PATIENCE) -> HttpResponse:
     return await client.call("POST", "/order", seconds, b"")
 
 
--- a/testing/council/test_system.py
+++ b/testing/council/test_system.py
@@ -6,7 +6,7 @@
 import pytest
 from councilsystem import BOUNDS, CONFIG, System, play, until, until_true
 from paddleshunt_node.aio import earlyrequests
-from paddleshunt_node.aio.httpclient import NoAnswerError
+from paddleshunt_node.aio.httpclient import NoResponseError
 from paddleshunt_node.aio.sockets import split_address
 
 KEY = "5c0e7a21d94b36f8"
@@ -74,7 +74,7 @@
 def test_a_caller_that_leaves_has_its_tasks_stopped() -> None:
     async def scene(system: System) -> None:
         await system.open()
-        with pytest.raises(NoAnswerError):
+        with pytest.raises(NoResponseError):
             await system.submit(KEY, 5000, wait=0.5)
         await until_true(lambda: len(system.runner.stopped) == 3)
         assert system.runner.tasks == {}
--- a/testing/council/test_withdrawn.py
+++ b/testing/council/test_withdrawn.py
@@ -12,7 +12,7 @@
 from councilsystem import System, play, until_true
 from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_node.aio.httpclient import Answer
+from paddleshunt_node.aio.httpclient import HttpResponse
 from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
 
 KEY = "5c0e7a21d94b36f8"
@@ -50,12 +50,12 @@
         return await self._port.look(look)
 
 
-async def caller_leaves(system: System, job: "asyncio.Future[Answer]") -> None:
+async def caller_leaves(system: System, job: "asyncio.Future[HttpResponse]") -> None:
     job.cancel()
     await until_true(lambda: system.entry.describe()["jobs"] == 0)
 
 
-async def hall_is_evacuated(system: System, job: "asyncio.Future[Answer]") -> None:
+async def hall_is_evacuated(system: System, job: "asyncio.Future[HttpResponse]") -> None:
     system.store.put("op/evacuate/hall", b"{}")
     await until_true(lambda: bool(system.target.describe()["evacuated_halls"]))
     job.cancel()
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("ends", [caller_leaves, hall_is_evacuated])
 def test_an_order_whose_right_ends_before_it_is_sent_starts_nothing(
-    ends: Callable[[System, "asyncio.Future[Answer]"], Awaitable[None]],
+    ends: Callable[[System, "asyncio.Future[HttpResponse]"], Awaitable[None]],
 ) -> None:
     gates: list[Gate] = []
 
--- a/testing/node/aio/test_http.py
+++ b/testing/node/aio/test_http.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from paddleshunt_node.aio.httpclient import HttpClient, NoAnswerError, NotSentError
+from paddleshunt_node.aio.httpclient import HttpClient, NoResponseError, NotSentError
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response, ServerLimits
 from paddleshunt_platform.standins.ports import free_port
 
@@ -80,7 +80,7 @@
 
 def test_a_caller_that_leaves_is_noticed_while_it_waits() -> None:
     async def scene(_server: HttpServer, handler: Handler, address: str) -> None:
-        with pytest.raises(NoAnswerError):
+        with pytest.raises(NoResponseError):
             await HttpClient(address).call("GET", "/held", 0.1)
         await until(lambda: bool(handler.left))
         handler.held[0].respond(Response(200))
@@ -185,7 +185,7 @@
         assert client.connections == 6
         for connection in server.open:
             monkeypatch.setattr(connection, "data_received", lambda data: None)
-        with pytest.raises(NoAnswerError):
+        with pytest.raises(NoResponseError):
             await client.call("POST", "/", 0.2, b"lost")
         assert (await client.call("POST", "/", 0.2, b"found")).body == b"found"
 
--- a/testing/soak/deployment.py
+++ b/testing/soak/deployment.py
@@ -20,7 +20,7 @@
 
 from paddleshunt_council.starting import SETTINGS_VARIABLE
 from paddleshunt_council.store import CONFIG_KEY, EVACUATE_PREFIX
-from paddleshunt_node.aio.httpclient import Answer, CallError, HttpClient
+from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse
 from paddleshunt_platform.standins.ports import free_port
 from record import Record
 from soakconfig import MOST_ENTRIES, configuration
@@ -234,7 +234,7 @@
         dump: dict[str, object] = json.loads(answer.body)
         return dump
 
-    async def get(self, process: Process, port: str, path: str) -> Answer:
+    async def get(self, process: Process, port: str, path: str) -> HttpResponse:
         """Ask a process's page; raises `CallError`."""
         client = HttpClient(f"{process.address}:{self.ports[port]}")
         return await client.call("GET", path, 1.0)
