--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -41,10 +41,10 @@
 from paddleshunt_node.aio.sockets import serve
 from paddleshunt_node.aio.storefollower import StoreFollower
 
-LONELY_SECONDS = 3.0
+READY_WITHOUT_TARGETS_SECONDS = 3.0
 """Seconds after the start from which an entry is ready even without a target."""
 
-NOTICED_SECONDS = 2.3
+BALANCER_DELAY_SECONDS = 2.3
 """Seconds that the balancer may take to notice that this entry is leaving."""
 
 LEAVING_PAUSE = 0.02
@@ -192,7 +192,7 @@
         self._context.spawn(self._follower.withdraw())
         last = began + self._config.bounds.grace - END_MARGIN
         self._dispatcher.leave(last)
-        noticed = min(began + NOTICED_SECONDS, last)
+        noticed = min(began + BALANCER_DELAY_SECONDS, last)
         while self._now() < noticed:
             await asyncio.sleep(LEAVING_PAUSE)
         # New connections go elsewhere by now, but callers may still hand in over kept ones.
@@ -225,7 +225,7 @@
             return False
         if self._targetless.sends_elsewhere(self._now()):
             return False
-        return bool(self._links) or self._now() > self._began + LONELY_SECONDS
+        return bool(self._links) or self._now() > self._began + READY_WITHOUT_TARGETS_SECONDS
 
     def handle(self, exchange: Exchange) -> None:
         """Take a caller's request."""
@@ -297,7 +297,7 @@
     def _target_side(self) -> "_TargetSide":
         return _TargetSide(self)
 
-    def target_greeted(self, link: PeerLink, hello: Hello) -> None:
+    def accept_hello(self, link: PeerLink, hello: Hello) -> None:
         """Take the greeting of a target, or of another entry."""
         now = self._now()
         if hello.entry:
@@ -317,7 +317,7 @@
         session.send(Entries(self._peers.told()))
         self._flush_soon()
 
-    def target_heard(self, link: PeerLink, frame: Frame) -> None:
+    def accept_frame(self, link: PeerLink, frame: Frame) -> None:
         """Take a frame of a target, or of another entry."""
         if self._links.get(link.peer) is link:
             now = self._now()
@@ -453,7 +453,7 @@
             self._unready_since = min(self._unready_since, now)
         else:
             self._unready_since = float("inf")
-        noticed = now >= self._unready_since + NOTICED_SECONDS
+        noticed = now >= self._unready_since + BALANCER_DELAY_SECONDS
         self._callers.closing = self._leaving or noticed
         refused = Refused("link_pressed", PRESSED_RETRY)
         self._dispatcher.turned_away = refused if pressed else None
@@ -550,10 +550,10 @@
         pass
 
     def greeted(self, link: PeerLink, hello: Hello) -> None:
-        self._service.target_greeted(link, hello)
+        self._service.accept_hello(link, hello)
 
     def heard(self, link: PeerLink, frame: Frame) -> None:
-        self._service.target_heard(link, frame)
+        self._service.accept_frame(link, frame)
 
     def refused(self, link: PeerLink, refusal: Refusal) -> None:
         self._service.refuse(refusal)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -47,10 +47,10 @@
 SHORT_PAUSE = 0.01
 """Seconds between two looks that don't wait."""
 
-FIRST_LONELY_SECONDS = 0.15
+FIRST_STORE_LOOKUP_SECONDS = 0.15
 """Seconds after the start by which a seed has usually answered; the store is asked otherwise."""
 
-LONELY_SECONDS = 2.0
+STORE_LOOKUP_SECONDS = 2.0
 """Seconds between two later looks whether no session is left and the store is to be asked."""
 
 END_MARGIN = 0.5
@@ -441,10 +441,10 @@
 
     async def _find_entries(self) -> None:
         """Ask the store for entries when none has been met for a while."""
-        pause = FIRST_LONELY_SECONDS
+        pause = FIRST_STORE_LOOKUP_SECONDS
         while True:
             await asyncio.sleep(pause)
-            pause = LONELY_SECONDS
+            pause = STORE_LOOKUP_SECONDS
             if not self._links:
                 await self._ask_for_entries()
 
--- a/testing/council/test_starting.py
+++ b/testing/council/test_starting.py
@@ -52,7 +52,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All hosts are back from a loss of power, and the seeds are not the first."""
-    monkeypatch.setattr(targetservice, "LONELY_SECONDS", 1000.0)
+    monkeypatch.setattr(targetservice, "STORE_LOOKUP_SECONDS", 1000.0)
 
     async def scene(system: System) -> None:
         await system.open()
--- a/testing/council/test_system.py
+++ b/testing/council/test_system.py
@@ -91,7 +91,7 @@
         await until_true(lambda: len(system.runner.tasks) == 3)
         system.entry_around.cancel()
         # Nor does it answer what comes over its connections any more, old and new.
-        for name in ("target_heard", "target_greeted"):
+        for name in ("accept_frame", "accept_hello"):
             monkeypatch.setattr(system.entry, name, lambda *_: None)
         began = time.monotonic()
         await until_true(lambda: not system.runner.tasks)
@@ -153,7 +153,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Callers must not hand in over them what it has no time to end any more."""
-    monkeypatch.setattr("paddleshunt_node.aio.entryservice.NOTICED_SECONDS", 0.2)
+    monkeypatch.setattr("paddleshunt_node.aio.entryservice.BALANCER_DELAY_SECONDS", 0.2)
 
     async def scene(system: System) -> None:
         await system.open()
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -353,7 +353,7 @@
         for entry in entries:
             await entry.stop()
 
-    monkeypatch.setattr(entryservice, "LONELY_SECONDS", 0.0)
+    monkeypatch.setattr(entryservice, "READY_WITHOUT_TARGETS_SECONDS", 0.0)
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
@@ -410,7 +410,7 @@
 def test_connections_end_with_their_answers_once_the_balancer_has_noticed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(entryservice, "NOTICED_SECONDS", 0.3)
+    monkeypatch.setattr(entryservice, "BALANCER_DELAY_SECONDS", 0.3)
 
     async def scene(entry: Entry, pressure: Pressure) -> None:
         closed: list[bool] = []
