--- a/benchmarks/peer_frames.py
+++ b/benchmarks/peer_frames.py
@@ -26,22 +26,22 @@
         self.name = name
         self.frames = 0
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         """Greet."""
         link.send(Hello(self.name, "life", False, "hall", "", 0, 0))
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Ignore the greeting."""
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Count."""
         self.frames += 1
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         """Fail: this sender writes nothing that can't be read."""
         raise AssertionError(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         """Ignore the end."""
 
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -300,7 +300,7 @@
 
     # Connections that this entry has made.
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         """Greet an entry that was dialled; tell it all others, lost runners and kinds of hosts."""
         link.send(self._greeting)
         speeds = self._owner.speeds.known()
@@ -308,11 +308,11 @@
         version = CatalogVersion(self._owner.catalog.version)
         link.send(_loose(Entries(self.live()), version, *known))
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Take the greeting of an entry that was dialled."""
         self.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Take what another entry says, over whichever connection."""
         for body in frame.bodies:
             self._take(link, body)
@@ -349,11 +349,11 @@
             case _:
                 pass
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         """Take note of a message that can't be read."""
         self._owner.refuse(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         """Make another connection."""
         self._spread.left(link.peer)
         self._askers.pop(link.peer, None)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -325,7 +325,7 @@
             if self._dispatcher.owes_answer(now, link.peer, frame):
                 self._owed.add(link.peer)
         else:
-            self._peers.heard(link, frame)
+            self._peers.frame_received(link, frame)
 
     def link_closed(self, link: PeerLink) -> None:
         """Take the end of a connection."""
@@ -546,17 +546,17 @@
     def __init__(self, service: EntryService) -> None:
         self._service = service
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         pass
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         self._service.accept_hello(link, hello)
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         self._service.accept_frame(link, frame)
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         self._service.refuse(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         self._service.link_closed(link)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -23,19 +23,19 @@
 class PeerHandler(Protocol):
     """Takes what comes over one connection."""
 
-    def opened(self, link: "PeerLink") -> None:
+    def connection_opened(self, link: "PeerLink") -> None:
         """Take a connection that has just been made."""
 
-    def greeted(self, link: "PeerLink", hello: Hello) -> None:
+    def hello_received(self, link: "PeerLink", hello: Hello) -> None:
         """Take the peer's greeting."""
 
-    def heard(self, link: "PeerLink", frame: Frame) -> None:
+    def frame_received(self, link: "PeerLink", frame: Frame) -> None:
         """Take a frame."""
 
-    def refused(self, link: "PeerLink", refusal: Refusal) -> None:
+    def message_refused(self, link: "PeerLink", refusal: Refusal) -> None:
         """Take note of a message that can't be read; the connection is broken off."""
 
-    def closed(self, link: "PeerLink") -> None:
+    def connection_closed(self, link: "PeerLink") -> None:
         """Take the end of the connection."""
 
 
@@ -59,7 +59,7 @@
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
         prepare(transport, self._silence)
-        self._handler.opened(self)
+        self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Take bytes and hand on the whole messages."""
@@ -79,7 +79,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Take the end of the connection."""
         self._transport = None
-        self._handler.closed(self)
+        self._handler.connection_closed(self)
 
     def send(self, message: Hello | Frame) -> None:
         """Send a message; on a connection that has ended it is dropped."""
@@ -111,7 +111,7 @@
             except UNREADABLE as problem:
                 self._refuse(str(problem))
                 return False
-            self._handler.heard(self, frame)
+            self._handler.frame_received(self, frame)
         else:
             try:
                 hello = _hello.decode(message)
@@ -122,13 +122,13 @@
                 self._refuse("no name")
                 return False
             self.peer = hello.name
-            self._handler.greeted(self, hello)
+            self._handler.hello_received(self, hello)
         return self._transport is not None
 
     def _refuse(self, problem: str) -> None:
         """Break off a connection over which something came that can't be read."""
         word = Word.FRAME if self.peer else Word.GREETING
-        self._handler.refused(self, Refusal(word, self.peer or self._remote(), problem))
+        self._handler.message_refused(self, Refusal(word, self.peer or self._remote(), problem))
         self.close()
 
     def _remote(self) -> str:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -345,7 +345,7 @@
 
     # Entries.
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         """Greet an entry that was dialled."""
         name = self._names.get(self._dialer.address_of(link), "")
         if not self._may_greet(name):
@@ -359,7 +359,7 @@
             Hello(config.name, self._life, False, config.hall, config.address, number, received)
         )
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Take an entry's greeting."""
         now = self._now()
         self._names[self._dialer.address_of(link)] = hello.name
@@ -376,7 +376,7 @@
         self._links[hello.name] = link
         self._flush(heartbeat=True)
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Take a frame of an entry."""
         if self._links.get(link.peer) is not link:
             return
@@ -394,11 +394,11 @@
         if self._worker.session(link.peer) is None:
             link.close()
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         """Take note of a message that can't be read."""
         self._context.refuse(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         """Take the end of a connection; its session goes on for a while."""
         self._said.pop(link, None)
         if link.peer and self._links.get(link.peer) is link:
--- a/testing/node/aio/test_dialer.py
+++ b/testing/node/aio/test_dialer.py
@@ -17,19 +17,19 @@
     def __init__(self) -> None:
         self.made = asyncio.Event()
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         self.made.set()
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         pass
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         pass
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         pass
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         pass
 
 
@@ -112,7 +112,7 @@
         handler = Handler()
         # No round runs here either.
         found = Dialer(handler, "own", 1.0, lambda _: True)
-        monkeypatch.setattr(handler, "closed", found.lost)
+        monkeypatch.setattr(handler, "connection_closed", found.lost)
         found.want(0.0, f"127.0.0.1:{port}")
         await asyncio.wait_for(handler.made.wait(), 10)
         await asyncio.sleep(0.1)
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -196,7 +196,7 @@
         gossip.cancel()
         link.peer = "e7"
         for frame in link.frames:
-            peers.heard(cast("PeerLink", link), frame)
+            peers.frame_received(cast("PeerLink", link), frame)
         assert owner.targets == [(43, "e7")]
 
     play(monkeypatch, [link], scene)
@@ -242,7 +242,7 @@
         peers.tell_catalog(owner.catalog)
         for link in links:
             # As its rounds of gossip say until the store has told it as well.
-            peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [CatalogVersion(6)]))
+            peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [CatalogVersion(6)]))
         await asyncio.sleep(ROUND)
         bodies = [body for link in links for frame in link.frames for body in frame.bodies]
         assert not [body for body in bodies if isinstance(body, CatalogNews)]
@@ -262,7 +262,7 @@
         peers.tell_catalog(owner.catalog)
         for _ in range(2):
             question = Frame(1, 0, 0, 0, [CatalogVersion(6, wanted=True)])
-            peers.heard(cast("PeerLink", link), question)
+            peers.frame_received(cast("PeerLink", link), question)
         await asyncio.sleep(4 * entrypeers.SPREAD_PAUSE)
         assert [unpack(body) for body in packed(link)] == [owner.catalog]
         assert owner.handed_out == [("e7", len(pack(owner.catalog).content))]
@@ -279,7 +279,7 @@
         for number, link in enumerate(links):
             link.peer = f"e{number}"
             version = CatalogVersion(number)
-            peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
+            peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
         await asyncio.sleep(ASK_SECONDS[1] + 4 * entrypeers.SPREAD_PAUSE)
         asked = [link.peer for link in links if link.frames]
         assert len(asked) == 1
@@ -298,7 +298,7 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         for body in (pack(catalog), CatalogNews(catalog), PackedCatalog(8, b"odd")):
-            peers.heard(cast("PeerLink", link), Frame(1, 0, 0, 0, [body]))
+            peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [body]))
         assert owner.adopted == [(catalog, "e7")] * 2
         assert [refusal.word for refusal in owner.refused] == [Word.CONFIGURATION]
 
@@ -329,7 +329,7 @@
     link = Link()
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        peers.opened(link)  # type: ignore[arg-type]
+        peers.connection_opened(link)  # type: ignore[arg-type]
         assert LOST in link.frames[-1].bodies
 
     play(monkeypatch, [], scene)
@@ -343,7 +343,7 @@
     link.peer = "e7"
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        peers.heard(link, Frame(1, 0, 0, 0, [news]))  # type: ignore[arg-type]
+        peers.frame_received(link, Frame(1, 0, 0, 0, [news]))  # type: ignore[arg-type]
         assert owner.heard == [(news, "e7")]
 
     play(monkeypatch, [], scene)
@@ -372,7 +372,7 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         learned(owner.speeds)
-        peers.opened(link)  # type: ignore[arg-type]
+        peers.connection_opened(link)  # type: ignore[arg-type]
         assert owner.speeds.known() in link.frames[-1].bodies
 
     play(monkeypatch, [], scene)
@@ -401,7 +401,7 @@
     link.peer = "e7"
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        peers.heard(link, Frame(1, 0, 0, 0, [KINDS]))  # type: ignore[arg-type]
+        peers.frame_received(link, Frame(1, 0, 0, 0, [KINDS]))  # type: ignore[arg-type]
         assert owner.told_kinds == [(KINDS, "e7")]
 
     play(monkeypatch, [], scene)
--- a/testing/node/aio/test_framing.py
+++ b/testing/node/aio/test_framing.py
@@ -23,19 +23,19 @@
         self.frames: list[Frame] = []
         self.refusals: list[Refusal] = []
 
-    def opened(self, link: PeerLink) -> None:
+    def connection_opened(self, link: PeerLink) -> None:
         pass
 
-    def greeted(self, link: PeerLink, hello: Hello) -> None:
+    def hello_received(self, link: PeerLink, hello: Hello) -> None:
         self.hellos.append(hello)
 
-    def heard(self, link: PeerLink, frame: Frame) -> None:
+    def frame_received(self, link: PeerLink, frame: Frame) -> None:
         self.frames.append(frame)
 
-    def refused(self, link: PeerLink, refusal: Refusal) -> None:
+    def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
         self.refusals.append(refusal)
 
-    def closed(self, link: PeerLink) -> None:
+    def connection_closed(self, link: PeerLink) -> None:
         pass
 
 
