--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -41,14 +41,14 @@
 """The same while the own link is pressed: two rounds fit into the time for which an entry counts
 as alive."""
 
-ENTRY_FRESH = 1.5
+ENTRY_ALIVE_SECONDS = 1.5
 """Seconds since an entry was heard for which it counts as alive."""
 
-TELL_PAUSE = 0.05
+ANNOUNCE_DELAY_SECONDS = 0.05
 """Seconds for which newly met entries are collected before targets are told of them."""
 
 
-SPREAD_PAUSE = 0.02
+MIN_SPREAD_INTERVAL_SECONDS = 0.02
 """Shortest time between two looks at what the spreading of a configuration needs."""
 
 
@@ -63,44 +63,44 @@
     def evacuations(self) -> Evacuations:
         """The evacuated halls that are known."""
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         """Take a configuration that another entry has."""
 
-    def asked_for_catalog(self, peer: str) -> None:
+    def catalog_requested(self, peer: str) -> None:
         """Take note that another entry was asked for its configuration."""
 
-    def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
+    def catalog_sent(self, peer: str, packed_bytes: int) -> None:
         """Take note that another entry was sent the configuration."""
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Take the evacuated halls that another entry knows."""
 
     def known_losses(self) -> list[LossNews]:
         """Return what is remembered of lost runners."""
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def receive_loss(self, news: LossNews, source: str) -> None:
         """Take another entry's word on a lost runner."""
 
     @property
     def speeds(self) -> Speeds:
         """What is known of how slow the kinds of hosts are."""
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def receive_speeds(self, news: SpeedNews, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
 
-    def targets_held(self) -> int:
+    def target_count(self) -> int:
         """Return how many targets are in session."""
 
-    def told_targets(self, targets: int, source: str) -> None:
+    def receive_target_count(self, targets: int, source: str) -> None:
         """Take another entry's word on how many targets it has."""
 
-    def found(self, entry: EntryAddress) -> None:
+    def entry_found(self, entry: EntryAddress) -> None:
         """Take note of an entry that is new, or has moved."""
 
     def refuse(self, refusal: Refusal) -> None:
         """Take note of a word that can't be read."""
 
-    def tell_targets(self, changes: EntryChanges) -> None:
+    def notify_targets(self, changes: EntryChanges) -> None:
         """Tell the targets which entries have joined or gone."""
 
 
@@ -120,17 +120,17 @@
         self._own = own
         self._greeting = greeting
         self._known: dict[str, tuple[EntryAddress, float]] = {}
-        self._told: dict[str, EntryAddress] = {own.name: own}
+        self._announced: dict[str, EntryAddress] = {own.name: own}
         """The entries that targets have been told of."""
-        self._telling = False
-        self._turn = 0
+        self._announcing = False
+        self._list_turn = 0
         self.sheds = False
         """Whether this host's link is pressed, so that what can wait is left out."""
         self._spread = CatalogSpread(Random(), link_mbps)
-        self._askers: dict[str, PeerLink] = {}
+        self._requesters: dict[str, PeerLink] = {}
         """By name, the connection over which an entry has asked for the configuration."""
         self._packed = PackedCatalog(0, b"")
-        self._spreading: asyncio.TimerHandle | None = None
+        self._spread_timer: asyncio.TimerHandle | None = None
         self._spread_due = 0.0
         """When that timer goes off."""
         self._dialer = Dialer(self, own.address, silence, lambda _: True)
@@ -150,52 +150,52 @@
     def live(self) -> list[EntryAddress]:
         """Return the entries that were heard lately, and this one."""
         now = clock.now()
-        live = [entry for entry, at in self._known.values() if now < at + ENTRY_FRESH]
+        live = [entry for entry, at in self._known.values() if now < at + ENTRY_ALIVE_SECONDS]
         return sorted([*live, self._own])
 
-    def heard_within(self, seconds: float) -> bool:
+    def any_seen_within(self, seconds: float) -> bool:
         """Whether any other entry was heard in the last so many seconds."""
         now = clock.now()
         return any(now < at + seconds for _, at in self._known.values())
 
-    def told(self) -> list[EntryAddress]:
+    def announced(self) -> list[EntryAddress]:
         """Return the entries that targets have been told of; what changes is told to all."""
-        return sorted(self._told.values())
+        return sorted(self._announced.values())
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         """Dial an entry that was heard of."""
         self._dialer.want(clock.now(), entry.address)
 
-    def note(self, entry: EntryAddress) -> None:
+    def record_entry(self, entry: EntryAddress) -> None:
         """Take an entry's greeting."""
         if not valid_entries([entry], entry.name, self._owner.refuse):
             return
         known = self._known.get(entry.name)
         self._known[entry.name] = (entry, clock.now())
-        self.met(entry)
+        self.entry_discovered(entry)
         if known is None or known[0] != entry:
-            self._owner.found(entry)
+            self._owner.entry_found(entry)
             self._send_all(Entries([entry]))
-            self._tell_soon()
+            self._announce_soon()
 
-    def tell_catalog(self, catalog: Catalog) -> None:
+    def announce_catalog(self, catalog: Catalog) -> None:
         """Tell all which version is in force now; who can't get it elsewhere asks for it."""
         self._spread.adopted(catalog.version)
         self._send_all(CatalogVersion(catalog.version))
 
-    def tell_evacuations(self, evacuated: EvacuatedHalls) -> None:
+    def broadcast_evacuations(self, evacuated: EvacuatedHalls) -> None:
         """Tell all which halls are evacuated."""
         self._send_all(EvacuationNews(evacuated))
 
-    def tell_loss(self, news: LossNews) -> None:
+    def broadcast_loss(self, news: LossNews) -> None:
         """Hand a word on a lost runner on to all."""
         self._send_all(news)
 
-    async def dial_for_ever(self) -> None:
+    async def dial_forever(self) -> None:
         """Keep a connection to each entry until cancelled."""
         await self._dialer.run()
 
-    async def gossip_for_ever(self) -> None:
+    async def gossip_forever(self) -> None:
         """Tell entries and targets what is known until cancelled.
 
         A round tells each entry no more than the versions, so that its bytes grow with the entries
@@ -204,75 +204,75 @@
         told when it has changed.
         """
         while True:
-            self._tell_changes()
+            self._announce_changes()
             self._send_all(
                 CatalogVersion(self._owner.catalog.version),
                 EvacuationNews(self._owner.evacuations.known),
-                TargetsHeld(self._owner.targets_held()),
+                TargetsHeld(self._owner.target_count()),
             )
             learned = self._owner.speeds.news()
             if learned is not None:
                 self._send_all(learned)
             links = self._dialer.links()
             if links and not self.sheds:
-                self._turn = (self._turn + 1) % len(links)
-                links[self._turn].send(_loose(Entries(self.live())))
+                self._list_turn = (self._list_turn + 1) % len(links)
+                links[self._list_turn].send(_sessionless_frame(Entries(self.live())))
             await asyncio.sleep(SHED_GOSSIP_SECONDS if self.sheds else GOSSIP_SECONDS)
 
     def _send_all(self, *bodies: Body) -> None:
-        frame = _loose(*bodies)
+        frame = _sessionless_frame(*bodies)
         for link in self._dialer.links():
             link.send(frame)
 
-    def _tell_soon(self) -> None:
-        if not self._telling:
-            self._telling = True
-            asyncio.get_running_loop().call_later(TELL_PAUSE, self._tell_changes)
+    def _announce_soon(self) -> None:
+        if not self._announcing:
+            self._announcing = True
+            asyncio.get_running_loop().call_later(ANNOUNCE_DELAY_SECONDS, self._announce_changes)
 
-    def _tell_changes(self) -> None:
+    def _announce_changes(self) -> None:
         """Tell targets which entries have joined or gone since they were told."""
-        self._telling = False
+        self._announcing = False
         live = {entry.name: entry for entry in self.live()}
-        joined = [entry for entry in live.values() if self._told.get(entry.name) != entry]
-        gone = [name for name in self._told if name not in live]
+        joined = [entry for entry in live.values() if self._announced.get(entry.name) != entry]
+        gone = [name for name in self._announced if name not in live]
         if joined or gone:
-            self._told = live
-            self._owner.tell_targets(EntryChanges(joined, gone))
+            self._announced = live
+            self._owner.notify_targets(EntryChanges(joined, gone))
 
     # The configuration.
 
-    def _take_version(self, link: PeerLink, told: CatalogVersion) -> None:
+    def _handle_version(self, link: PeerLink, told: CatalogVersion) -> None:
         if told.wanted:
-            self._askers[link.peer] = link
+            self._requesters[link.peer] = link
             self._spread.asked(link.peer, told.version)
         else:
             self._spread.told(clock.now(), link.peer, told.version)
         self._spread_when_due()
 
-    def _unpack(self, link: PeerLink, packed: PackedCatalog) -> None:
+    def _handle_packed_catalog(self, link: PeerLink, packed: PackedCatalog) -> None:
         try:
             catalog = unpack(packed)
         except CatalogPackError as problem:
             self._owner.refuse(Refusal(Word.CONFIGURATION, link.peer, str(problem)))
             return
-        self._owner.adopt(catalog, link.peer)
+        self._owner.adopt_catalog(catalog, link.peer)
 
     def _spread_when_due(self) -> None:
         due = self._spread.due()
         if due is None:
             return
-        due = max(due, clock.now() + SPREAD_PAUSE)
-        if self._spreading is not None:
+        due = max(due, clock.now() + MIN_SPREAD_INTERVAL_SECONDS)
+        if self._spread_timer is not None:
             if self._spread_due <= due:
                 return
-            self._spreading.cancel()
+            self._spread_timer.cancel()
         self._spread_due = due
         loop = asyncio.get_running_loop()
-        self._spreading = loop.call_later(due - clock.now(), self._spread_catalog)
+        self._spread_timer = loop.call_later(due - clock.now(), self._spread_catalog)
 
     def _spread_catalog(self) -> None:
         """Ask for a configuration, or hand a copy out, if it is time."""
-        self._spreading = None
+        self._spread_timer = None
         for step in self._spread.act(clock.now(), hands_out=not self.sheds):
             match step:
                 case AskFor():
@@ -285,8 +285,8 @@
         question = CatalogVersion(self._owner.catalog.version, wanted=True)
         for link in self._dialer.links():
             if link.peer == peer:
-                link.send(_loose(question))
-                self._owner.asked_for_catalog(peer)
+                link.send(_sessionless_frame(question))
+                self._owner.catalog_requested(peer)
                 return
 
     def _hand_out_catalog(self, peer: str) -> None:
@@ -294,9 +294,9 @@
         if self._packed.version != catalog.version:
             self._packed = pack(catalog)
         size = len(self._packed.content)
-        self._askers.pop(peer).send(_loose(self._packed))
+        self._requesters.pop(peer).send(_sessionless_frame(self._packed))
         self._spread.handed_out(clock.now(), size)
-        self._owner.handed_out_catalog(peer, size)
+        self._owner.catalog_sent(peer, size)
 
     # Connections that this entry has made.
 
@@ -306,46 +306,46 @@
         speeds = self._owner.speeds.known()
         known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
         version = CatalogVersion(self._owner.catalog.version)
-        link.send(_loose(Entries(self.live()), version, *known))
+        link.send(_sessionless_frame(Entries(self.live()), version, *known))
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Take the greeting of an entry that was dialled."""
-        self.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
+        self.record_entry(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Take what another entry says, over whichever connection."""
         for body in frame.bodies:
-            self._take(link, body)
+            self._handle_body(link, body)
         known = self._known.get(link.peer)
         if known is not None:
             self._known[link.peer] = (known[0], clock.now())
 
-    def _take(self, link: PeerLink, body: Body) -> None:
+    def _handle_body(self, link: PeerLink, body: Body) -> None:
         match body:
             case Entries():
                 for entry in valid_entries(body.entries, link.peer, self._owner.refuse):
-                    self.met(entry)
+                    self.entry_discovered(entry)
             case EvacuationNews():
                 if self._owner.evacuations.outdates(body.evacuated):
-                    link.send(_loose(EvacuationNews(self._owner.evacuations.known)))
-                self._owner.learn(body.evacuated, link.peer)
+                    link.send(_sessionless_frame(EvacuationNews(self._owner.evacuations.known)))
+                self._owner.apply_evacuations(body.evacuated, link.peer)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
-                self._owner.told_loss(body, link.peer)
+                self._owner.receive_loss(body, link.peer)
             case CatalogNews():
-                self._owner.adopt(body.catalog, link.peer)
+                self._owner.adopt_catalog(body.catalog, link.peer)
             case PackedCatalog():
-                self._unpack(link, body)
+                self._handle_packed_catalog(link, body)
             case CatalogVersion():
-                self._take_version(link, body)
+                self._handle_version(link, body)
             case _:
-                self._take_figures(link, body)
+                self._handle_statistics(link, body)
 
-    def _take_figures(self, link: PeerLink, body: Body) -> None:
+    def _handle_statistics(self, link: PeerLink, body: Body) -> None:
         match body:
             case SpeedNews():
-                self._owner.told_speeds(body, link.peer)
+                self._owner.receive_speeds(body, link.peer)
             case TargetsHeld():
-                self._owner.told_targets(body.count, link.peer)
+                self._owner.receive_target_count(body.count, link.peer)
             case _:
                 pass
 
@@ -356,10 +356,10 @@
     def connection_closed(self, link: PeerLink) -> None:
         """Make another connection."""
         self._spread.left(link.peer)
-        self._askers.pop(link.peer, None)
+        self._requesters.pop(link.peer, None)
         self._dialer.lost(link)
 
 
-def _loose(*bodies: Body) -> Frame:
+def _sessionless_frame(*bodies: Body) -> Frame:
     """Return a frame outside any session."""
     return Frame(1, 0, 0, 0, list(bodies))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -178,9 +178,9 @@
         )
         self._meter.show()
         self._context.event("started", role="entry", node=self._config.name, life=self._life)
-        self._context.spawn(self._peers.dial_for_ever())
-        self._context.spawn(self._tick_for_ever())
-        self._context.spawn(self._peers.gossip_for_ever())
+        self._context.spawn(self._peers.dial_forever())
+        self._context.spawn(self._tick_forever())
+        self._context.spawn(self._peers.gossip_forever())
         self._context.spawn(self._follower.follow())
         self._context.spawn(self._follower.announce())
 
@@ -267,7 +267,7 @@
                 self._context.log(effect)
                 self._context.metrics.event(effect.event)
             elif isinstance(effect, HandOn):
-                self._peers.tell_loss(effect.news)
+                self._peers.broadcast_loss(effect.news)
             else:
                 self._answer(effect)
         if flush:
@@ -301,7 +301,9 @@
         """Take the greeting of a target, or of another entry."""
         now = self._now()
         if hello.entry:
-            self._peers.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
+            self._peers.record_entry(
+                EntryAddress(hello.name, hello.address, hello.life, hello.hall)
+            )
             link.send(self._hello(0, 0))
             return
         session, effects = self._dispatcher.greeted(now, hello)
@@ -314,7 +316,7 @@
         if old is not None and old is not link:
             old.close()
         link.send(self._hello(session.number, session.received))
-        session.send(Entries(self._peers.told()))
+        session.send(Entries(self._peers.announced()))
         self._flush_soon()
 
     def accept_frame(self, link: PeerLink, frame: Frame) -> None:
@@ -339,11 +341,11 @@
         """Take note of a word that can't be read."""
         self._context.refuse(refusal)
 
-    def found(self, entry: EntryAddress) -> None:
+    def entry_found(self, entry: EntryAddress) -> None:
         """Take note of an entry that is new, or has moved."""
         self._context.event("entry_found", entry=entry.name, address=entry.address)
 
-    def tell_targets(self, changes: EntryChanges) -> None:
+    def notify_targets(self, changes: EntryChanges) -> None:
         """Tell the targets which entries have joined or gone."""
         for name in self._links:
             session = self._dispatcher.session(name)
@@ -355,15 +357,15 @@
         """Whether no other entry has been met."""
         return not self._peers.names()
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         """Dial an entry that was heard of."""
-        self._peers.met(entry)
+        self._peers.entry_discovered(entry)
 
     def known_losses(self) -> list[LossNews]:
         """Return what is remembered of lost runners."""
         return self._dispatcher.known_losses(self._now())
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def receive_loss(self, news: LossNews, source: str) -> None:
         """Take another entry's word on a lost runner."""
         self._act(self._dispatcher.told_loss(self._now(), news, source))
 
@@ -372,15 +374,15 @@
         """What is known of how slow the kinds of hosts are."""
         return self._dispatcher.speeds
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def receive_speeds(self, news: SpeedNews, source: str) -> None:
         """Take another entry's word on kinds of hosts."""
         self._act(self._dispatcher.told_speeds(self._now(), news, source))
 
-    def targets_held(self) -> int:
+    def target_count(self) -> int:
         """Return how many targets are in session, for other entries."""
         return len(self._links)
 
-    def told_targets(self, targets: int, source: str) -> None:
+    def receive_target_count(self, targets: int, source: str) -> None:
         """Take another entry's word on how many targets it has."""
         self._targetless.told(self._now(), source, targets)
 
@@ -391,14 +393,14 @@
         """The evacuated halls that are known."""
         return self._dispatcher.evacuations
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Follow a word of evacuated halls if it is newer, and hand it on."""
         before = self.evacuations.known
         self._act(self._dispatcher.told_evacuations(self._now(), evacuated, source))
         if set(self.evacuations.known.halls) != set(before.halls):
-            self._peers.tell_evacuations(self.evacuations.known)
+            self._peers.broadcast_evacuations(self.evacuations.known)
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         """Follow `catalog` if it is newer than the one in force."""
         if catalog.version <= self.catalog.version:
             return
@@ -412,15 +414,15 @@
         self._context.event(
             "catalog_adopted", version=catalog.version, before=before, source=source
         )
-        self._peers.tell_catalog(catalog)
+        self._peers.announce_catalog(catalog)
         for exchange, waited in self._early.release():
             self._handle(exchange, waited)
 
-    def asked_for_catalog(self, peer: str) -> None:
+    def catalog_requested(self, peer: str) -> None:
         """Take note that another entry was asked for its configuration."""
         self._context.event("catalog_asked_for", entry=peer, version=self.catalog.version)
 
-    def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
+    def catalog_sent(self, peer: str, packed_bytes: int) -> None:
         """Take note that another entry was sent the configuration."""
         version = self.catalog.version
         self._context.event(
@@ -437,7 +439,7 @@
 
     def _knows_another(self) -> bool:
         """Whether another entry is alive that may take what this one turns away."""
-        return self._peers.heard_within(OTHERS_SECONDS)
+        return self._peers.any_seen_within(OTHERS_SECONDS)
 
     def _follow_pressure(self) -> None:
         """Leave undone what the level of the own link says; answers under way always go out.
@@ -460,7 +462,7 @@
 
     # Time and sending.
 
-    async def _tick_for_ever(self) -> None:
+    async def _tick_forever(self) -> None:
         due = self._now()
         while True:
             self._meter.sample_when_due(self._now())
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -21,16 +21,16 @@
 class Owner(Protocol):
     """The entry that what was found is for."""
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         """Take a configuration."""
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Take the halls that are evacuated."""
 
     def lacks_entries(self) -> bool:
         """Whether other entries are looked for."""
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         """Take another entry's address."""
 
 
@@ -65,9 +65,9 @@
             reachable = True
             # Evacuations first: with a configuration the first job may be placed.
             if word.evacuated is not None:
-                self._owner.learn(word.evacuated, "store")
+                self._owner.apply_evacuations(word.evacuated, "store")
             if word.catalog is not None:
-                self._owner.adopt(word.catalog, "store")
+                self._owner.adopt_catalog(word.catalog, "store")
 
     async def announce(self) -> None:
         """Keep this entry's address in the store; look for others there if none was met.
@@ -80,7 +80,7 @@
                 await self._store.announce(self._entry, ANNOUNCE_SECONDS)
                 if self._owner.lacks_entries():
                     for known in await self._store.entries():
-                        self._owner.met(known)
+                        self._owner.entry_discovered(known)
             except StoreUnavailableError:
                 await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -157,9 +157,9 @@
         self._gauges()
         self._meter.show()
         self._context.event("started", role="target", node=self._config.name, life=self._life)
-        self._context.spawn(self._look_for_ever())
+        self._context.spawn(self._look_forever())
         self._context.spawn(self._dialer.run())
-        self._context.spawn(self._tick_for_ever())
+        self._context.spawn(self._tick_forever())
         self._context.spawn(self._find_entries())
 
     async def _leave(self) -> None:
@@ -267,7 +267,7 @@
         self._claims.drop(ends.runner)
         self._act(self._worker.runner_left(now, ends.runner))
 
-    async def _look_for_ever(self) -> None:
+    async def _look_forever(self) -> None:
         failures = 0
         while True:
             look = self._worker.next_look(self._now())
@@ -463,7 +463,7 @@
 
     # Time and sending.
 
-    async def _tick_for_ever(self) -> None:
+    async def _tick_forever(self) -> None:
         due = self._now()
         while True:
             now = self._now()
--- a/testing/council/test_turned_away.py
+++ b/testing/council/test_turned_away.py
@@ -41,16 +41,16 @@
 
     catalog = EMPTY
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.catalog = catalog
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         pass
 
     def lacks_entries(self) -> bool:
         return False
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         pass
 
 
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -69,37 +69,37 @@
     def refuse(self, refusal: Refusal) -> None:
         self.refused.append(refusal)
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.adopted.append((catalog, source))
 
-    def asked_for_catalog(self, peer: str) -> None:
+    def catalog_requested(self, peer: str) -> None:
         self.asked.append(peer)
 
-    def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
+    def catalog_sent(self, peer: str, packed_bytes: int) -> None:
         self.handed_out.append((peer, packed_bytes))
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         pass
 
-    def found(self, entry: EntryAddress) -> None:
+    def entry_found(self, entry: EntryAddress) -> None:
         pass
 
     def known_losses(self) -> list[RunnerLost]:
         return self.losses
 
-    def targets_held(self) -> int:
+    def target_count(self) -> int:
         return 43
 
-    def told_targets(self, targets: int, source: str) -> None:
+    def receive_target_count(self, targets: int, source: str) -> None:
         self.targets.append((targets, source))
 
-    def told_loss(self, news: LossNews, source: str) -> None:
+    def receive_loss(self, news: LossNews, source: str) -> None:
         self.heard.append((news, source))
 
-    def told_speeds(self, news: SpeedNews, source: str) -> None:
+    def receive_speeds(self, news: SpeedNews, source: str) -> None:
         self.told_kinds.append((news, source))
 
-    def tell_targets(self, changes: EntryChanges) -> None:
+    def notify_targets(self, changes: EntryChanges) -> None:
         self.told.append(changes)
 
 
@@ -143,10 +143,10 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         for number in range(entries):
-            peers.note(entry(number))
+            peers.record_entry(entry(number))
         for link in links:
             link.frames.clear()
-        gossip = asyncio.ensure_future(peers.gossip_for_ever())
+        gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(ROUND / 2)
         gossip.cancel()
         whole = [link for link in links if len(link.frames) == 2]
@@ -161,7 +161,7 @@
     links = [Link() for _ in range(4)]
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        gossip = asyncio.ensure_future(peers.gossip_for_ever())
+        gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(4.5 * ROUND)
         gossip.cancel()
 
@@ -178,7 +178,7 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         peers.sheds = True
-        gossip = asyncio.ensure_future(peers.gossip_for_ever())
+        gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(3.5 * ROUND)
         gossip.cancel()
 
@@ -191,7 +191,7 @@
     link = Link()
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        gossip = asyncio.ensure_future(peers.gossip_for_ever())
+        gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(ROUND / 2)
         gossip.cancel()
         link.peer = "e7"
@@ -204,11 +204,11 @@
 
 def test_another_entry_counts_as_heard_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        assert not peers.heard_within(10.0)
-        peers.note(entry(1))
-        assert peers.heard_within(10.0)
+        assert not peers.any_seen_within(10.0)
+        peers.record_entry(entry(1))
+        assert peers.any_seen_within(10.0)
         await asyncio.sleep(0.05)
-        assert not peers.heard_within(0.01)
+        assert not peers.any_seen_within(0.01)
 
     play(monkeypatch, [Link()], scene)
 
@@ -218,12 +218,12 @@
 ) -> None:
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         for number in (1, 2, 3):
-            peers.note(entry(number))
-        await asyncio.sleep(3 * entrypeers.TELL_PAUSE)
+            peers.record_entry(entry(number))
+        await asyncio.sleep(3 * entrypeers.ANNOUNCE_DELAY_SECONDS)
         assert owner.told == [EntryChanges([entry(1), entry(2), entry(3)], [])]
-        assert peers.told() == sorted([OWN, entry(1), entry(2), entry(3)])
-        monkeypatch.setattr(entrypeers, "ENTRY_FRESH", 0.0)
-        gossip = asyncio.ensure_future(peers.gossip_for_ever())
+        assert peers.announced() == sorted([OWN, entry(1), entry(2), entry(3)])
+        monkeypatch.setattr(entrypeers, "ENTRY_ALIVE_SECONDS", 0.0)
+        gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(3 * ROUND)
         gossip.cancel()
         gone = EntryChanges([], [entry(number).name for number in (1, 2, 3)])
@@ -239,7 +239,7 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         owner.catalog = Catalog(7, [], [])
-        peers.tell_catalog(owner.catalog)
+        peers.announce_catalog(owner.catalog)
         for link in links:
             # As its rounds of gossip say until the store has told it as well.
             peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [CatalogVersion(6)]))
@@ -259,11 +259,11 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         owner.catalog = Catalog(7, [], [])
-        peers.tell_catalog(owner.catalog)
+        peers.announce_catalog(owner.catalog)
         for _ in range(2):
             question = Frame(1, 0, 0, 0, [CatalogVersion(6, wanted=True)])
             peers.frame_received(cast("PeerLink", link), question)
-        await asyncio.sleep(4 * entrypeers.SPREAD_PAUSE)
+        await asyncio.sleep(4 * entrypeers.MIN_SPREAD_INTERVAL_SECONDS)
         assert [unpack(body) for body in packed(link)] == [owner.catalog]
         assert owner.handed_out == [("e7", len(pack(owner.catalog).content))]
 
@@ -280,7 +280,7 @@
             link.peer = f"e{number}"
             version = CatalogVersion(number)
             peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
-        await asyncio.sleep(ASK_SECONDS[1] + 4 * entrypeers.SPREAD_PAUSE)
+        await asyncio.sleep(ASK_SECONDS[1] + 4 * entrypeers.MIN_SPREAD_INTERVAL_SECONDS)
         asked = [link.peer for link in links if link.frames]
         assert len(asked) == 1
         assert asked != ["e0"]
@@ -317,7 +317,7 @@
     links = [Link(), Link()]
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
-        peers.tell_loss(news)
+        peers.broadcast_loss(news)
         assert [link.frames[-1].bodies for link in links] == [[news], [news]]
 
     play(monkeypatch, links, scene)
@@ -385,7 +385,7 @@
 
     async def scene(peers: EntryPeers, owner: Owner) -> None:
         learned(owner.speeds)
-        task = asyncio.create_task(peers.gossip_for_ever())
+        task = asyncio.create_task(peers.gossip_forever())
         await asyncio.sleep(4.5 * ROUND)
         task.cancel()
 
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -430,7 +430,7 @@
     monkeypatch: pytest.MonkeyPatch, others: int, status: int
 ) -> None:
     async def scene(entry: Entry, pressure: Pressure) -> None:
-        entry.service.told_targets(others, "e9")
+        entry.service.receive_target_count(others, "e9")
         links = entry.service._links
         links["t1"] = PeerLink(entry.service._target_side, 1.0)
         await asyncio.sleep(0.2)
--- a/testing/node/aio/test_storefollower.py
+++ b/testing/node/aio/test_storefollower.py
@@ -49,17 +49,17 @@
     def __init__(self) -> None:
         self.took: list[str] = []
 
-    def adopt(self, catalog: Catalog, source: str) -> None:
+    def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.catalog = catalog
         self.took.append("catalog")
 
-    def learn(self, evacuated: EvacuatedHalls, source: str) -> None:
+    def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         self.took.append("evacuated")
 
     def lacks_entries(self) -> bool:
         return False
 
-    def met(self, entry: EntryAddress) -> None:
+    def entry_discovered(self, entry: EntryAddress) -> None:
         pass
 
 
