--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/claims.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/claims.py
@@ -5,7 +5,7 @@
 from paddleshunt_core.leased.orders import RunnerAccount
 from paddleshunt_core.leased.runnerlife import RunnerLife
 
-MOST_CLAIMS = 32
+MAX_CLAIMS = 32
 """Lives that the runner has not confirmed yet; a host sees some of them a day."""
 
 
@@ -24,7 +24,7 @@
         known = self._accounts.get(account.runner)
         if known is None or account.sequence > known.sequence:
             self._accounts[account.runner] = account
-        if len(self._accounts) > MOST_CLAIMS:
+        if len(self._accounts) > MAX_CLAIMS:
             del self._accounts[next(iter(self._accounts))]
 
     def newest(self, life: RunnerLife) -> RunnerAccount | None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/clock.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/clock.py
@@ -25,7 +25,7 @@
 
 
 @final
-class Suspensions:
+class SuspensionDetector:
     """Notices that the host was suspended."""
 
     def __init__(self) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/earlyrequests.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/earlyrequests.py
@@ -14,7 +14,7 @@
 HOLD_SECONDS = 0.5
 """Longest time that a request waits for the configuration."""
 
-MOST_HELD = 1000
+MAX_HELD = 1000
 """Requests that may wait at once."""
 
 
@@ -35,7 +35,7 @@
 
     def hold(self, exchange: Exchange) -> None:
         """Let a request wait; refuse it if there are too many, or once it has waited too long."""
-        if len(self._held) >= MOST_HELD:
+        if len(self._held) >= MAX_HELD:
             exchange.respond(self._refusal())
             return
         self._held[exchange.number] = _Held(exchange, clock.now())
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -34,8 +34,8 @@
 from paddleshunt_node.aio.entrypeers import EntryPeers
 from paddleshunt_node.aio.framing import PeerLink
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
-from paddleshunt_node.aio.linkmeter import LinkMeter, Metered
-from paddleshunt_node.aio.loop import once_known
+from paddleshunt_node.aio.linkmeter import LinkMeter, MeteredConnection
+from paddleshunt_node.aio.loop import call_after_pending_io
 from paddleshunt_node.aio.ports import CallerCodec, StorePort
 from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
 from paddleshunt_node.aio.sockets import serve
@@ -253,7 +253,9 @@
 
     def _place_soon(self) -> None:
         """Place what has just come, once the connections that have ended are known."""
-        once_known(self._loop, lambda: self._act(self._dispatcher.place_arrived(self._now())))
+        call_after_pending_io(
+            self._loop, lambda: self._act(self._dispatcher.place_arrived(self._now()))
+        )
 
     def abandoned(self, exchange: Exchange) -> None:
         """Stop the work of a caller that left."""
@@ -431,7 +433,7 @@
 
     # The own link.
 
-    def _connections(self) -> list[Metered]:
+    def _connections(self) -> list[MeteredConnection]:
         return [*self._links.values(), *self._peers.links(), *self._callers.open]
 
     def _is_turning_away(self, now: float) -> bool:
@@ -509,7 +511,7 @@
 
     def _check_answers(self) -> None:
         """Check once all that has come is read: answers may have waited for this process."""
-        once_known(self._loop, self._check_read_answers)
+        call_after_pending_io(self._loop, self._check_read_answers)
 
     def _check_read_answers(self) -> None:
         self._answers_timer = None
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -8,8 +8,8 @@
 from paddleshunt_core.leased.wire import Frame, Hello
 
 from paddleshunt_node.aio import clock
-from paddleshunt_node.aio.reading import ReadingProtocol
-from paddleshunt_node.aio.sockets import prepare
+from paddleshunt_node.aio.sharedbuffer import SharedBufferProtocol
+from paddleshunt_node.aio.sockets import set_socket_options
 
 LENGTH_BYTES = 4
 MAX_MESSAGE = 8 << 20
@@ -40,7 +40,7 @@
 
 
 @final
-class PeerLink(ReadingProtocol):
+class PeerLink(SharedBufferProtocol):
     """One connection. `peer` is the name in the peer's greeting, empty before it."""
 
     def __init__(self, handler: PeerHandler, silence: float) -> None:
@@ -58,7 +58,7 @@
         """Take the connection."""
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
-        prepare(transport, self._silence)
+        set_socket_options(transport, self._silence)
         self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
@@ -12,8 +12,8 @@
 
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.httptext import request_head
-from paddleshunt_node.aio.reading import ReadingProtocol
-from paddleshunt_node.aio.sockets import prepare, split_address
+from paddleshunt_node.aio.sharedbuffer import SharedBufferProtocol
+from paddleshunt_node.aio.sockets import set_socket_options, split_address
 
 CONNECT_TIMEOUT = 0.4
 """Seconds for a connection to be made; the first packet may be lost."""
@@ -132,7 +132,7 @@
 
 
 @final
-class _Connection(ReadingProtocol):
+class _Connection(SharedBufferProtocol):
     """One connection; httptools calls the methods named `on_...`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -152,7 +152,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
-        prepare(transport, 2.0)
+        set_socket_options(transport, 2.0)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
@@ -11,8 +11,8 @@
 import httptools
 
 from paddleshunt_node.aio.httptext import response_head
-from paddleshunt_node.aio.reading import ReadingProtocol
-from paddleshunt_node.aio.sockets import prepare, serve
+from paddleshunt_node.aio.sharedbuffer import SharedBufferProtocol
+from paddleshunt_node.aio.sockets import serve, set_socket_options
 
 BAD_REQUEST = 400
 BODY_TOO_LARGE = 413
@@ -114,7 +114,7 @@
 
 
 @final
-class _Connection(ReadingProtocol):
+class _Connection(SharedBufferProtocol):
     """One connection; httptools calls the methods named `on_...`."""
 
     def __init__(self, server: HttpServer) -> None:
@@ -141,7 +141,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
-        prepare(transport, self._server.limits.idle_timeout)
+        set_socket_options(transport, self._server.limits.idle_timeout)
         self._server.open.add(self)
         self._wait_for(self._server.limits.header_timeout)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -19,7 +19,7 @@
 SAMPLE_SECONDS = 0.2
 """Seconds between two samples: a session bears 0.4 s of silence, and a sample costs up to 1 ms."""
 
-ASKED = 64
+KERNEL_SAMPLE_CONNECTIONS = 64
 """Connections that the kernel is asked about in one sample; what they hold stands for the rest."""
 
 _COUNT = struct.Struct("i")
@@ -38,7 +38,7 @@
     holding: int = 0
 
 
-class Metered(Protocol):
+class MeteredConnection(Protocol):
     """A connection whose sends are watched."""
 
     @property
@@ -61,7 +61,7 @@
     def __init__(
         self,
         context: ProcessContext,
-        connections: Callable[[], Iterable[Metered]],
+        connections: Callable[[], Iterable[MeteredConnection]],
         echo: Callable[[], float | None],
         usual_echo: float = float("inf"),
     ) -> None:
@@ -69,7 +69,7 @@
         self._context = context
         self._connections = connections
         self._echo = echo
-        self._written: dict[Metered, int] = {}
+        self._written: dict[MeteredConnection, int] = {}
         """Bytes that were handed to each connection until the last sample."""
         self._total = 0
         self._due = 0.0
@@ -121,9 +121,9 @@
             self._context.log(log)
             self._context.metrics.event(log.event)
 
-    def _held(self) -> dict[Metered, int]:
+    def _held(self) -> dict[MeteredConnection, int]:
         """Return the bytes that asyncio holds, of the connections in use."""
-        held: dict[Metered, int] = {}
+        held: dict[MeteredConnection, int] = {}
         before, self._written = self._written, {}
         for connection in self._connections():
             transport = connection.transport
@@ -137,7 +137,7 @@
                 held[connection] = count
         return held
 
-    def _ask_kernel(self, held: dict[Metered, int]) -> "_Kernel":
+    def _ask_kernel(self, held: dict[MeteredConnection, int]) -> "_Kernel":
         """Return what the kernel holds, by some of the connections; others' turn is next.
 
         What asyncio holds bytes of is few, and not like the others: each kind stands for itself.
@@ -145,8 +145,10 @@
         holders = [connection for connection, count in held.items() if count]
         others = [connection for connection, count in held.items() if not count]
         self._turn += 1
-        asked = self._some(holders, min(ASKED - ASKED // 2, len(holders)))
-        quiet = self._some(others, ASKED - len(asked))
+        asked = self._some(
+            holders, min(KERNEL_SAMPLE_CONNECTIONS - KERNEL_SAMPLE_CONNECTIONS // 2, len(holders))
+        )
+        quiet = self._some(others, KERNEL_SAMPLE_CONNECTIONS - len(asked))
         whole = {connection: self._kernel_bytes(connection) for connection in (*asked, *quiet)}
         share = len(holders) / max(1, len(asked))
         quiet_share = len(others) / max(1, len(quiet))
@@ -158,12 +160,12 @@
             round(quiet_share * sum(whole[one] > 0 for one in quiet)),
         )
 
-    def _some(self, connections: list[Metered], count: int) -> list[Metered]:
+    def _some(self, connections: list[MeteredConnection], count: int) -> list[MeteredConnection]:
         """Return so many of them, beginning elsewhere each turn."""
         first = self._turn * count % max(1, len(connections))
         return (connections[first:] + connections[:first])[:count]
 
-    def _kernel_bytes(self, connection: Metered) -> int:
+    def _kernel_bytes(self, connection: MeteredConnection) -> int:
         transport = connection.transport
         sock = transport.get_extra_info("socket") if transport else None
         if sock is None or not self._kernel_tells or sock.fileno() < 0:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/loop.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/loop.py
@@ -39,12 +39,12 @@
 """
 
 
-def once_known(
+def call_after_pending_io(
     loop: asyncio.AbstractEventLoop, callback: Callable[[], None], rounds: int = ROUNDS
 ) -> None:
     """Call back once all that had come by now is handled, the ends of connections too."""
     if rounds:
-        loop.call_soon(once_known, loop, callback, rounds - 1)
+        loop.call_soon(call_after_pending_io, loop, callback, rounds - 1)
     else:
         callback()
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/reading.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sharedbuffer.py
@@ -12,7 +12,7 @@
 _buffer = memoryview(bytearray(READ_BYTES))
 
 
-class ReadingProtocol(asyncio.BufferedProtocol):
+class SharedBufferProtocol(asyncio.BufferedProtocol):
     """Base of protocols whose `data_received` takes what was read."""
 
     def data_received(self, data: bytes) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -48,7 +48,7 @@
     return await loop.create_server(factory, sock=listener, backlog=listening.BACKLOG)
 
 
-def prepare(transport: asyncio.BaseTransport, silence: float) -> None:
+def set_socket_options(transport: asyncio.BaseTransport, silence: float) -> None:
     """Send small writes at once, and break a connection that is silent for `silence` seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -29,7 +29,7 @@
 from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
-from paddleshunt_node.aio.linkmeter import LinkMeter, Metered
+from paddleshunt_node.aio.linkmeter import LinkMeter, MeteredConnection
 from paddleshunt_node.aio.ports import (
     OtherLife,
     RegistrationCodec,
@@ -103,7 +103,7 @@
         self._times = lease_times(config.bounds)
         self._life = os.urandom(6).hex()
         self._worker = Worker(self._times, config.hall, config.bounds.cold_overrun)
-        self._suspensions = clock.Suspensions()
+        self._suspensions = clock.SuspensionDetector()
         self._meter = LinkMeter(context, self._connections, self._echo_age, self._times.usual_echo)
         self._links: dict[str, PeerLink] = {}
         self._names: dict[str, str] = {}
@@ -175,7 +175,7 @@
             "stopped", after_ms=round((self._now() - began) * 1000), runs=self._worker.runs
         )
 
-    def _connections(self) -> list[Metered]:
+    def _connections(self) -> list[MeteredConnection]:
         return list(self._links.values())
 
     def _echo_age(self) -> float | None:
--- a/testing/node/aio/test_clock.py
+++ b/testing/node/aio/test_clock.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("seconds", [0.2, 1.0, 4.0, 10.0])
 def test_a_suspension_is_noticed_once(seconds: float, clocks: Clocks) -> None:
-    suspensions = clock.Suspensions()
+    suspensions = clock.SuspensionDetector()
     clocks.run(3.0)
     assert suspensions.read() == (53.0, 0.0)
     clocks.suspend(seconds)
@@ -89,7 +89,7 @@
 def test_a_pause_between_the_readings_of_both_clocks_is_no_suspension(
     clocks: Clocks, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    suspensions = clock.Suspensions()
+    suspensions = clock.SuspensionDetector()
     monkeypatch.setattr(clock, "steady", lambda: clocks.steady + 0.1)
     assert suspensions.read() == (50.0, 0.0)
     monkeypatch.setattr(clock, "steady", lambda: clocks.steady)
@@ -97,6 +97,6 @@
 
 
 def test_clocks_that_are_read_apart_are_no_suspension(clocks: Clocks) -> None:
-    suspensions = clock.Suspensions()
+    suspensions = clock.SuspensionDetector()
     clocks.suspend(clock.NOISE_SECONDS / 2)
     assert suspensions.read()[1] == 0.0
--- a/testing/node/aio/test_earlyrequests.py
+++ b/testing/node/aio/test_earlyrequests.py
@@ -65,7 +65,7 @@
 
 
 def test_more_than_may_wait_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(earlyrequests, "MOST_HELD", 1)
+    monkeypatch.setattr(earlyrequests, "MAX_HELD", 1)
 
     async def scene(early: EarlyRequests, asked: list[Asked]) -> None:
         assert [len(each.answers) for each in asked] == [0, 1]
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -20,7 +20,7 @@
 from paddleshunt_node.aio.framing import PeerLink
 from paddleshunt_node.aio.httpclient import HttpClient
 from paddleshunt_node.aio.httpserver import Request, Response
-from paddleshunt_node.aio.linkmeter import ASKED, LinkMeter
+from paddleshunt_node.aio.linkmeter import KERNEL_SAMPLE_CONNECTIONS, LinkMeter
 from paddleshunt_node.aio.logwriter import LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 from paddleshunt_node.aio.ports import OperatorUpdate, Submission
@@ -191,7 +191,7 @@
         for connection in connections:
             connection.written += 10
         recorder = sampled(monkeypatch, connections, suspicious=True)
-        assert len(asked) == ASKED
+        assert len(asked) == KERNEL_SAMPLE_CONNECTIONS
         (sample,) = recorder.samples
         assert (sample.unsent, sample.holding, sample.active) == (20_000, 200, 200)
 
--- a/testing/node/aio/test_loop.py
+++ b/testing/node/aio/test_loop.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 import pytest
-from paddleshunt_node.aio.loop import new_loop, once_known
+from paddleshunt_node.aio.loop import call_after_pending_io, new_loop
 
 
 @pytest.fixture
@@ -82,7 +82,7 @@
         def end() -> None:
             here.sendall(last_word)
             here.close()
-            once_known(loop, lambda: called.set_result(peer.ended))
+            call_after_pending_io(loop, lambda: called.set_result(peer.ended))
 
         if ended_by_timer:
             loop.call_later(0.001, end)
