--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -28,7 +28,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class OtherLife:
+class OtherIncarnation:
     """A runner of another id answered than the one meant."""
 
 
@@ -56,10 +56,10 @@
     async def stop(self, order: StopRun) -> bool:
         """Order a stop; return whether the runner confirmed it."""
 
-    async def is_current_life(self, life: RunnerLife) -> bool | None:
+    async def is_current_incarnation(self, life: RunnerLife) -> bool | None:
         """Ask whether this life of the runner is the one there; None: that isn't said."""
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
+    async def poll(self, poll: Look) -> LookAnswer | OtherIncarnation | Superseded | None:
         """Renew the lease and look at what runs; None: no answer."""
 
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -31,7 +31,7 @@
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
 from paddleshunt_node.aio.linkmeter import LinkMeter, MeteredConnection
 from paddleshunt_node.aio.ports import (
-    OtherLife,
+    OtherIncarnation,
     RegistrationCodec,
     RunnerDeregistration,
     RunnerPort,
@@ -41,7 +41,7 @@
 )
 from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
 
-LOOK_PAUSE = 0.08
+POLL_RETRY_SECONDS = 0.08
 """Seconds before the next look after one that got no answer, or one that can't be read in full."""
 
 SHORT_PAUSE = 0.01
@@ -121,7 +121,7 @@
         )
         self._dialer.seeds(set(config.seeds))
         self._loop: asyncio.AbstractEventLoop
-        self._looked = False
+        self._runner_polled = False
         self._flushing = False
         self._report_timer: asyncio.TimerHandle | None = None
         self._report_due = 0.0
@@ -157,7 +157,7 @@
         self._gauges()
         self._meter.show()
         self._context.event("started", role="target", node=self._config.name, life=self._life)
-        self._context.spawn(self._look_forever())
+        self._context.spawn(self._poll_forever())
         self._context.spawn(self._dialer.run())
         self._context.spawn(self._tick_forever())
         self._context.spawn(self._find_entries())
@@ -235,7 +235,7 @@
         ended: it may be the next one, which registers while this one drains.
         """
         changes = self._changes
-        answer = await self._runner.is_current_life(account.runner)
+        answer = await self._runner.is_current_incarnation(account.runner)
         if changes != self._changes:
             # It may be of before that change; a claim that stands has been asked about again.
             return
@@ -267,34 +267,36 @@
         self._claims.drop(ends.runner)
         self._act(self._worker.runner_left(now, ends.runner))
 
-    async def _look_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         failures = 0
         while True:
-            look = self._worker.next_look(self._now())
-            answer = await self._runner.look(look)
+            poll = self._worker.next_look(self._now())
+            answer = await self._runner.poll(poll)
             now = self._now()
             if isinstance(answer, LookAnswer):
                 failures = 0
-                self._note_first_look()
+                self._record_first_poll()
                 self._act(self._worker.looked(now, answer))
                 # The runner doesn't wait either while an end that can't be read is listed, which
                 # may be for good.
                 if answer.partial:
-                    await asyncio.sleep(LOOK_PAUSE)
-                elif look.wait == 0:
+                    await asyncio.sleep(POLL_RETRY_SECONDS)
+                elif poll.wait == 0:
                     await asyncio.sleep(SHORT_PAUSE)
                 continue
             if isinstance(answer, Superseded):
                 continue
-            self._act(self._worker.look_failed(now, other_life=isinstance(answer, OtherLife)))
+            self._act(
+                self._worker.look_failed(now, other_life=isinstance(answer, OtherIncarnation))
+            )
             # The first failure may be one lost answer, and the lease is running: look at once.
             failures += 1
             if failures > 1:
-                await asyncio.sleep(LOOK_PAUSE)
+                await asyncio.sleep(POLL_RETRY_SECONDS)
 
-    def _note_first_look(self) -> None:
-        if not self._looked:
-            self._looked = True
+    def _record_first_poll(self) -> None:
+        if not self._runner_polled:
+            self._runner_polled = True
             self._context.event("runner_held")
 
     async def _start_run(self, order: StartRun) -> None:
--- a/testing/council/test_late_looks.py
+++ b/testing/council/test_late_looks.py
@@ -8,7 +8,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
+from paddleshunt_node.aio.ports import OtherIncarnation, RunnerPort, Superseded
 
 BOUNDS = Bounds()
 KEY = "5c0e7a21d94b36f8"
@@ -39,8 +39,8 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
-        answer = await self._port.look(look)
+    async def poll(self, poll: Look) -> LookAnswer | OtherIncarnation | Superseded | None:
+        answer = await self._port.poll(poll)
         if self._started == 3 and isinstance(answer, LookAnswer) and len(answer.running) == 3:
             seconds, self.seconds = self.seconds, 0.0
             time.sleep(seconds)
--- a/testing/council/test_lives.py
+++ b/testing/council/test_lives.py
@@ -21,7 +21,7 @@
     async def scene() -> None:
         standin = Failing()
         await standin.start()
-        assert await Runner(standin.address).is_current_life(RunnerLife("i-0")) is not True
+        assert await Runner(standin.address).is_current_incarnation(RunnerLife("i-0")) is not True
 
     asyncio.run(asyncio.wait_for(scene(), 20))
 
@@ -46,6 +46,6 @@
         await standin.start()
         runner = Runner(standin.address)
         runner.expect(RunnerLife("i-1", 5))
-        assert await runner.is_current_life(asked) is expected
+        assert await runner.is_current_incarnation(asked) is expected
 
     asyncio.run(asyncio.wait_for(scene(), 20))
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -22,7 +22,7 @@
 from paddleshunt_council.runner import Runner
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.httpserver import Exchange, Response
-from paddleshunt_node.aio.ports import OtherLife, Superseded
+from paddleshunt_node.aio.ports import OtherIncarnation, Superseded
 from standins import RunnerStandIn
 
 RUN = RunId(TaskId("5c0e7a21d94b36f8", 0, 7), 2)
@@ -60,7 +60,7 @@
 def test_a_start_carries_name_token_and_a_deadline_on_the_runners_clock() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         asked_at = time.monotonic()
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         given = order(0.5)
         assert await runner.start(given, always) is StartAnswer.STARTED
         path, asked = standin.calls[-1]
@@ -90,7 +90,7 @@
 )
 def test_answers_to_a_start(status: int, reason: str, answer: StartAnswer) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         standin.status, standin.reason = status, reason
         assert await runner.start(order(), always) is answer
 
@@ -99,11 +99,11 @@
 
 def test_a_start_without_an_answer_is_unknown() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         standin.silent = True
         assert await runner.start(order(), always) is StartAnswer.UNKNOWN
         assert not await runner.stop(StopRun(RUN))
-        assert await runner.look(FIRST_LOOK) is None
+        assert await runner.poll(FIRST_LOOK) is None
 
     play(scene)
 
@@ -112,7 +112,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [[NAME, 2, "", 41, 3], ["other", 1, "", 0, 0]]
         standin.finished = [[58, NAME, 1, "done", ""], [59, NAME, 1, "lapsed", ""]]
-        answer = await runner.look(Look(57, None, 0.0))
+        answer = await runner.poll(Look(57, None, 0.0))
         assert isinstance(answer, LookAnswer)
         assert answer.running == [RunningRun(RUN, 41)]
         first = RunId(RUN.task, 1)
@@ -128,9 +128,9 @@
 def test_another_life_is_told_apart() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         runner.expect(RunnerLife("i-1"))
-        assert isinstance(await runner.look(FIRST_LOOK), LookAnswer)
+        assert isinstance(await runner.poll(FIRST_LOOK), LookAnswer)
         standin.life = "i-2"
-        assert isinstance(await runner.look(FIRST_LOOK), OtherLife)
+        assert isinstance(await runner.poll(FIRST_LOOK), OtherIncarnation)
         assert await runner.start(order(), always) is StartAnswer.OTHER_LIFE
 
     play(scene)
@@ -138,7 +138,7 @@
 
 def test_a_new_life_has_a_clock_of_its_own() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         runner.expect(RunnerLife("i-2"))
         assert await runner.start(order(), always) is StartAnswer.NOT_SENT
 
@@ -154,8 +154,8 @@
         for name, born in lives:
             standin.life, standin.born = name, born
             runner.expect(RunnerLife(name, born))
-            await runner.look(FIRST_LOOK)
-            await runner.look(FIRST_LOOK)
+            await runner.poll(FIRST_LOOK)
+            await runner.poll(FIRST_LOOK)
             tokens.append(standin.calls[-1][1]["fencing_token"])
         assert tokens == [5000, 5001, 5000, 5002]
 
@@ -167,8 +167,8 @@
         tokens = []
         for born in (0, 20):
             runner.expect(RunnerLife("i-1", born))
-            await runner.look(FIRST_LOOK)
-            await runner.look(FIRST_LOOK)
+            await runner.poll(FIRST_LOOK)
+            await runner.poll(FIRST_LOOK)
             tokens.append(standin.calls[-1][1]["fencing_token"])
         assert tokens == [5000, 5001]
 
@@ -178,7 +178,7 @@
 def test_a_life_that_tells_its_start_later_is_the_same() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         runner.expect(RunnerLife("i-1"))
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         runner.refine_identity(RunnerLife("i-1", 20))
         assert await runner.start(order(), always) is StartAnswer.STARTED
         assert standin.calls[-1][1]["fencing_token"] == 5000
@@ -189,7 +189,7 @@
 def test_lists_say_whose_they_are() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.born = 17
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert answer.born == 17
 
@@ -200,17 +200,17 @@
 def test_a_look_says_nothing_once_another_life_is_meant(silent: bool) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.silent = silent
-        look = asyncio.ensure_future(runner.look(FIRST_LOOK))
+        poll = asyncio.ensure_future(runner.poll(FIRST_LOOK))
         await asyncio.sleep(0)
         runner.expect(RunnerLife("i-1"))
-        assert await look == Superseded()
+        assert await poll == Superseded()
 
     play(scene)
 
 
 def test_an_order_whose_lease_is_over_is_not_sent() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         assert await runner.start(order(-0.01), always) is StartAnswer.EXPIRED
         assert [path for path, _ in standin.calls] == ["/paddleshunt/hold"]
 
@@ -219,8 +219,8 @@
 
 def test_a_look_whose_lease_is_over_renews_nothing() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
-        await runner.look(Look(0, time.monotonic() - 0.2, 0.0))
+        await runner.poll(FIRST_LOOK)
+        await runner.poll(Look(0, time.monotonic() - 0.2, 0.0))
         assert int(str(standin.calls[-1][1]["deadline_ms"])) < standin.clock
 
     play(scene)
@@ -236,7 +236,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         # The clock was read at some moment of the look: on a busy machine long before it returns.
         asked_at = time.monotonic()
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         await asyncio.sleep(0.5)
         given = order(0.3)
         await runner.start(given, always)
@@ -248,10 +248,10 @@
 
 def test_a_clock_that_was_read_late_does_not_set_the_estimate_back() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         await asyncio.sleep(0.2)
         standin.clock = 4000
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         await runner.start(order(0.3), always)
         assert deadline_after(standin) >= 5400
 
@@ -260,7 +260,7 @@
 
 def test_an_answer_that_the_pages_do_not_name_leaves_the_start_in_doubt() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         standin.status = 500
         assert await runner.start(order(), always) is StartAnswer.UNKNOWN
 
@@ -287,7 +287,7 @@
         standin = FencedRunner()
         await standin.start()
         runner = Runner(standin.address)
-        answers = [await runner.look(FIRST_LOOK) for _ in range(12)]
+        answers = [await runner.poll(FIRST_LOOK) for _ in range(12)]
         assert isinstance(answers[-1], LookAnswer)
         assert await runner.start(order(), always) is StartAnswer.STARTED
         assert standin.highest < 2 * 700_000
@@ -297,7 +297,7 @@
 
 def test_an_order_that_is_withdrawn_before_it_leaves_is_not_sent() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         calls = len(standin.calls)
         assert await runner.start(order(), lambda: False) is StartAnswer.WITHDRAWN
         assert len(standin.calls) == calls
@@ -314,7 +314,7 @@
     read = clock.now
 
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         monkeypatch.setattr(clock, "now", lambda: read() + seconds)
         now = clock.now()
         given = StartRun(RUN, "spec", now + 0.5, "e", now)
@@ -342,7 +342,7 @@
 ) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert answer.running == [RunningRun(OTHER, 5)]
         assert answer.partial
@@ -358,7 +358,7 @@
 def test_a_run_is_shown_if_no_more_than_its_name_can_be_read(row: list[object]) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert answer.running == [RunningRun(RunId(RUN.task, 2), 0), RunningRun(OTHER, 5)]
         assert not answer.partial
@@ -374,7 +374,7 @@
 def test_an_end_is_taken_note_of_if_its_number_can_be_read(row: list[object], listed: int) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[59, NAME, 1, "done", ""], row]
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert (answer.listed, answer.partial, answer.unread_end) == (listed, True, True)
 
@@ -384,7 +384,7 @@
 def test_an_end_whose_kind_can_not_be_read_is_an_end() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, ["done"]]]
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert answer.finished == [FinishedRun(58, RunId(RUN.task, 1), RunEnd.STOPPED)]
         assert (answer.listed, answer.partial, answer.unread_end) == (58, False, False)
@@ -400,7 +400,7 @@
 def test_an_odd_end_hides_no_other(row: list[object]) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [row, [59, NAME, 1, "done", ""]]
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert answer.finished == [FinishedRun(59, RunId(RUN.task, 1), RunEnd.DONE)]
         assert answer.partial
@@ -413,7 +413,7 @@
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [[name, 1, "", 5], OTHER_ROW]
         standin.finished = [[7, name, 1, "done", ""]]
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert (answer.running, answer.finished) == ([RunningRun(OTHER, 5)], [])
         assert (answer.partial, answer.listed) == (False, 7)
@@ -451,7 +451,7 @@
         refused: list[Refusal] = []
         runner = Runner(standin.address, refused.append)
         runner.expect(RunnerLife("i-1"))
-        assert await runner.look(FIRST_LOOK) is None
+        assert await runner.poll(FIRST_LOOK) is None
         assert {(one.word, one.sender) for one in refused} == {(Word.RUNNER_ANSWER, "i-1")}
 
     asyncio.run(asyncio.wait_for(scene(), 20))
@@ -461,10 +461,10 @@
 def test_a_clock_that_can_not_be_read_is_not_gone_by(clock_ms: object) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.clock = clock_ms  # type: ignore[assignment]
-        assert isinstance(await runner.look(FIRST_LOOK), LookAnswer)
+        assert isinstance(await runner.poll(FIRST_LOOK), LookAnswer)
         assert await runner.start(order(), always) is StartAnswer.NOT_SENT
         standin.clock = 5000
-        await runner.look(FIRST_LOOK)
+        await runner.poll(FIRST_LOOK)
         assert await runner.start(order(), always) is StartAnswer.STARTED
 
     play(scene)
@@ -473,7 +473,7 @@
 def test_an_end_that_is_not_named_is_an_end() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, "evaporated", ""]]
-        answer = await runner.look(FIRST_LOOK)
+        answer = await runner.poll(FIRST_LOOK)
         assert isinstance(answer, LookAnswer)
         assert answer.finished == [FinishedRun(58, RunId(RUN.task, 1), RunEnd.STOPPED)]
 
@@ -487,12 +487,12 @@
         standin = FencedRunner()
         await standin.start()
         removed, following = Runner(standin.address), Runner(standin.address)
-        while not isinstance(await removed.look(FIRST_LOOK), LookAnswer):
+        while not isinstance(await removed.poll(FIRST_LOOK), LookAnswer):
             pass
         await removed.start(order(), always)
         late = standin.calls[-1][1]
         standin.clock += 1
-        while not isinstance(await following.look(FIRST_LOOK), LookAnswer):
+        while not isinstance(await following.poll(FIRST_LOOK), LookAnswer):
             pass
         assert standin.answer("/paddleshunt/run-start", late, {}) == (
             409,
--- a/testing/council/test_standstill.py
+++ b/testing/council/test_standstill.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.bounds import Bounds, lease_times
 from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.runnerlife import RunnerLife
-from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
+from paddleshunt_node.aio.ports import OtherIncarnation, RunnerPort, Superseded
 
 BOUNDS = Bounds()
 TIMES = lease_times(BOUNDS)
@@ -46,8 +46,8 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
-        return await self._port.look(look)
+    async def poll(self, poll: Look) -> LookAnswer | OtherIncarnation | Superseded | None:
+        return await self._port.poll(poll)
 
 
 def test_an_order_that_left_late_brings_no_lease_beyond_its_decision() -> None:
--- a/testing/council/test_withdrawn.py
+++ b/testing/council/test_withdrawn.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.orders import Look, LookAnswer, StartAnswer, StartRun, StopRun
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_node.aio.httpclient import HttpResponse
-from paddleshunt_node.aio.ports import OtherLife, RunnerPort, Superseded
+from paddleshunt_node.aio.ports import OtherIncarnation, RunnerPort, Superseded
 
 KEY = "5c0e7a21d94b36f8"
 
@@ -46,8 +46,8 @@
     async def stop(self, order: StopRun) -> bool:
         return await self._port.stop(order)
 
-    async def look(self, look: Look) -> LookAnswer | OtherLife | Superseded | None:
-        return await self._port.look(look)
+    async def poll(self, poll: Look) -> LookAnswer | OtherIncarnation | Superseded | None:
+        return await self._port.poll(poll)
 
 
 async def caller_leaves(system: System, job: "asyncio.Future[HttpResponse]") -> None:
--- a/testing/council/test_words.py
+++ b/testing/council/test_words.py
@@ -11,7 +11,7 @@
 from paddleshunt_core.leased.resources import NOTHING
 from paddleshunt_core.leased.wire import Entries, EntryAddress, Frame, Hello
 from paddleshunt_node.aio.httpclient import HttpClient
-from paddleshunt_node.aio.targetservice import LOOK_PAUSE
+from paddleshunt_node.aio.targetservice import POLL_RETRY_SECONDS
 
 KEY = "5c0e7a21d94b36f8"
 HEARTBEAT = "/paddleshunt/Instances.Heartbeat/"
@@ -131,7 +131,7 @@
 
         system.runner.answer = answer  # type: ignore[method-assign]
         await until_true(lambda: len(looks) == 8)
-        assert looks[-1] - looks[1] >= 6 * LOOK_PAUSE
+        assert looks[-1] - looks[1] >= 6 * POLL_RETRY_SECONDS
 
     play(scene)
 
