--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -1,4 +1,4 @@
-"""The entry process: callers, targets, other entries and the store around the dispatcher."""
+"""The entry process: connects the dispatcher to callers, targets, other entries and the store."""
 
 import asyncio
 import os
@@ -45,34 +45,34 @@
 """Seconds after the start from which an entry is ready even without a target."""
 
 BALANCER_DELAY_SECONDS = 2.3
-"""Seconds that the balancer may take to notice that this entry is leaving."""
+"""Seconds that the load balancer may take to react to a failing readiness check."""
 
-LEAVING_PAUSE = 0.02
-"""Seconds between two looks whether a leaving entry may end."""
+SHUTDOWN_CHECK_SECONDS = 0.02
+"""Seconds between two checks whether a stopping entry may exit."""
 
 END_MARGIN = 0.8
-"""Seconds before SIGKILL at which all that is left is answered."""
+"""Seconds before SIGKILL at which all remaining jobs are answered."""
 
 TIMER_MARGIN = 0.0005
-"""Seconds that a timer may be early by the clock that it is checked with, and some."""
+"""Seconds added to timers, as the event loop may fire them early by `clock.now`."""
 
 RETRY_AFTER = "Retry-After"
 
-OTHERS_SECONDS = 10.0
-"""Seconds since another entry was heard for which callers are sent to it: at a pressed link what
-the others say comes late as well."""
+ALTERNATIVE_ENTRY_SECONDS = 10.0
+"""Seconds since the last message of another entry for which callers are sent there; well above the
+gossip interval, as an overloaded link delays gossip too."""
 
-PRESSED_RETRY = 1.0
-"""Seconds after which a caller may come back: other entries' links may be pressed as well, and
-callers that go on to them at once would press them all."""
+OVERLOAD_RETRY_SECONDS = 1.0
+"""Seconds in `Retry-After` while the link is overloaded, so that callers that are turned away don't
+overload the other entries at once."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class EntryConfig:
-    """Who an entry is and where it listens; addresses are host:port.
+    """Identity and listening addresses (host:port) of an entry.
 
-    `link_mbps` is what its host's link carries, in megabits a second.
+    `link_mbps` is the bandwidth of its host's link, in megabits a second.
     """
 
     name: str
@@ -88,7 +88,7 @@
 
 @final
 class EntryService:
-    """One entry."""
+    """Runs one entry until the process is stopped."""
 
     def __init__(
         self,
@@ -113,12 +113,12 @@
             hall_preference=bounds.hall_preference,
         )
         self.catalog: Catalog = EMPTY
-        self._waiting: dict[int, Exchange] = {}
+        self._exchanges: dict[int, Exchange] = {}
         self._callers = HttpServer(self)
         self._early = EarlyRequests(_unconfigured)
         self._links: dict[str, PeerLink] = {}
-        self._owed: set[str] = set()
-        """Targets that a frame is due to, whether there is something to say or not."""
+        self._frame_due: set[str] = set()
+        """Names of targets that are due a frame even if no message is pending."""
         own = EntryAddress(config.name, config.peers, self._life, config.hall)
         greeting, silence = self._hello(0, 0), self._times.session
         self._peers = EntryPeers(self, own, greeting, silence, config.link_mbps)
@@ -134,25 +134,23 @@
         self._flushing = False
         self._answers_timer: asyncio.TimerHandle | None = None
         self._leaving = False
-        self._began = self._now()
+        self._started_at = self._now()
         self._targetless = Targetless()
         self._unready_since = float("inf")
-        """Since when new connections are sent elsewhere, as the own link is pressed."""
-
-    # The process.
+        """When the readiness check began to fail because of the overloaded link."""
 
     async def run(self) -> None:
-        """Serve until told to stop, then leave."""
+        """Serve until the process is asked to stop, then shut down gracefully."""
         await self._start()
         await self._context.stopping.wait()
         await self._leave()
 
     def describe(self) -> dict[str, object]:
-        """Return a dump of the state."""
-        whole = self._dispatcher.describe(self._now())
+        """Return the state for the dump page."""
+        state = self._dispatcher.describe(self._now())
         if self._peers.sheds:
-            # By far the largest part; it may be asked for again once the link is free.
-            whole["targets"] = "left out while the link is pressed"
+            # The targets are by far the largest part of the dump.
+            state["targets"] = "left out while the link is pressed"
         return {
             "name": self._config.name,
             "life": self._life,
@@ -160,14 +158,16 @@
             "leaving": self._leaving,
             "entries": self._peers.names(),
             "link": self._meter.describe(),
-            **whole,
+            **state,
         }
 
     async def _start(self) -> None:
         self._loop = asyncio.get_running_loop()
         await self._callers.start(self._config.callers)
-        await HttpServer(_Readiness(self)).start(self._config.ready)
-        await serve(lambda: PeerLink(self._target_side, self._times.session), self._config.peers)
+        await HttpServer(_ReadinessPage(self)).start(self._config.ready)
+        await serve(
+            lambda: PeerLink(self._incoming_handler, self._times.session), self._config.peers
+        )
         pages = OperatorPages(self._context.metrics, self.describe)
         await serve_pages(pages, self._config.metrics, self._context)
         add_entry_gauges(
@@ -176,7 +176,7 @@
             lambda: self.catalog.version,
             lambda: len(self._links),
         )
-        self._meter.show()
+        self._meter.add_gauges()
         self._context.event("started", role="entry", node=self._config.name, life=self._life)
         self._context.spawn(self._peers.dial_forever())
         self._context.spawn(self._tick_forever())
@@ -194,11 +194,11 @@
         self._dispatcher.leave(last)
         noticed = min(began + BALANCER_DELAY_SECONDS, last)
         while self._now() < noticed:
-            await asyncio.sleep(LEAVING_PAUSE)
-        # New connections go elsewhere by now, but callers may still hand in over kept ones.
+            await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
+        # The balancer sends no new connections now; callers may still use keep-alive ones.
         self._callers.close_idle()
         while self._now() < last and self._dispatcher.jobs:
-            await asyncio.sleep(LEAVING_PAUSE)
+            await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
         self._act(self._dispatcher.finish(self._now()))
         self._flush()
         self._callers.stop_listening()
@@ -208,29 +208,27 @@
         self._context.event("stopped", after_ms=round((self._now() - began) * 1000))
 
     def reload(self, seeds: set[str]) -> None:
-        """Adopt new settings."""
+        """Replace the seed addresses."""
         self._peers.seeds(seeds)
 
     def _now(self) -> float:
         return clock.now()
 
-    # Callers.
-
     @property
     def is_ready(self) -> bool:
-        """Whether new connections may come here."""
+        """Whether the balancer may send new connections to this entry."""
         if self.catalog.version == 0 or self._leaving:
             return False
-        if self._is_turning_away(self._now()):
+        if self._turns_away(self._now()):
             return False
         if self._targetless.sends_elsewhere(self._now()):
             return False
-        return bool(self._links) or self._now() > self._began + READY_WITHOUT_TARGETS_SECONDS
+        return bool(self._links) or self._now() > self._started_at + READY_WITHOUT_TARGETS_SECONDS
 
     def handle(self, exchange: Exchange) -> None:
-        """Take a caller's request."""
+        """Submit a caller's request, or hold it until the first configuration is known."""
         if self.catalog.version == 0:
-            # One that comes as this process leaves might be cut off while it waits.
+            # A held request might not be answered before a stopping process exits.
             if self._leaving:
                 exchange.respond(_unconfigured())
             else:
@@ -239,28 +237,28 @@
         self._handle(exchange, 0.0)
 
     def _handle(self, exchange: Exchange, waited: float) -> None:
-        """Take a request that came `waited` seconds ago."""
-        read = self._codec.read(exchange.request, self.catalog)
-        if isinstance(read, Response):
-            exchange.respond(read)
+        """Submit a request that arrived `waited` seconds ago."""
+        parsed = self._codec.read(exchange.request, self.catalog)
+        if isinstance(parsed, Response):
+            exchange.respond(parsed)
             return
-        self._waiting[exchange.number] = exchange
-        job = read.job
+        self._exchanges[exchange.number] = exchange
+        job = parsed.job
         if waited:
             job = replace(job, deadline=max(0.0, job.deadline - waited))
-        self._act(self._dispatcher.submit(self._now(), exchange.number, job, read.queue))
+        self._act(self._dispatcher.submit(self._now(), exchange.number, job, parsed.queue))
         self._loop.call_later(self._config.bounds.caller_delay + TIMER_MARGIN, self._place_soon)
 
     def _place_soon(self) -> None:
-        """Place what has just come, once the connections that have ended are known."""
+        """Place newly arrived jobs, once pending disconnects of callers are handled."""
         call_after_pending_io(
             self._loop, lambda: self._act(self._dispatcher.place_arrived(self._now()))
         )
 
     def abandoned(self, exchange: Exchange) -> None:
-        """Stop the work of a caller that left."""
+        """Withdraw the job of a caller that disconnected."""
         self._early.drop(exchange.number)
-        if self._waiting.pop(exchange.number, None) is not None:
+        if self._exchanges.pop(exchange.number, None) is not None:
             self._act(self._dispatcher.caller_left(self._now(), exchange.number))
 
     def _act(self, effects: list[Effect], *, flush: bool = True) -> None:
@@ -289,18 +287,16 @@
             after_ms=round(effect.waited * 1000),
             catalog=self.catalog.version,
         )
-        exchange = self._waiting.pop(effect.caller, None)
+        exchange = self._exchanges.pop(effect.caller, None)
         if exchange is not None:
             exchange.respond(self._codec.answer(outcome))
 
-    # Targets.
-
     @property
-    def _target_side(self) -> "_TargetSide":
-        return _TargetSide(self)
+    def _incoming_handler(self) -> "_IncomingHandler":
+        return _IncomingHandler(self)
 
     def accept_hello(self, link: PeerLink, hello: Hello) -> None:
-        """Take the greeting of a target, or of another entry."""
+        """Answer the hello of a target, or of another entry."""
         now = self._now()
         if hello.entry:
             self._peers.record_entry(
@@ -322,33 +318,31 @@
         self._flush_soon()
 
     def accept_frame(self, link: PeerLink, frame: Frame) -> None:
-        """Take a frame of a target, or of another entry."""
+        """Process a frame of a target, or of another entry."""
         if self._links.get(link.peer) is link:
             now = self._now()
             self._act(self._dispatcher.heard(now, link.peer, frame))
             if self._dispatcher.owes_answer(now, link.peer, frame):
-                self._owed.add(link.peer)
+                self._frame_due.add(link.peer)
         else:
             self._peers.frame_received(link, frame)
 
     def link_closed(self, link: PeerLink) -> None:
-        """Take the end of a connection."""
+        """Record that a connection has ended."""
         if link.peer and self._links.get(link.peer) is link:
             del self._links[link.peer]
             self._dispatcher.disconnected(self._now(), link.peer)
 
-    # Other entries.
-
     def refuse(self, refusal: Refusal) -> None:
-        """Take note of a word that can't be read."""
+        """Count and log a message that can't be decoded."""
         self._context.refuse(refusal)
 
     def entry_found(self, entry: EntryAddress) -> None:
-        """Take note of an entry that is new, or has moved."""
+        """Log an entry that is new or whose address has changed."""
         self._context.event("entry_found", entry=entry.name, address=entry.address)
 
     def notify_targets(self, changes: EntryChanges) -> None:
-        """Tell the targets which entries have joined or gone."""
+        """Send all targets the entries that have joined or gone."""
         for name in self._links:
             session = self._dispatcher.session(name)
             if session is not None:
@@ -356,54 +350,52 @@
         self._flush_soon()
 
     def lacks_entries(self) -> bool:
-        """Whether no other entry has been met."""
+        """Whether no other entry is known."""
         return not self._peers.names()
 
     def entry_discovered(self, entry: EntryAddress) -> None:
-        """Dial an entry that was heard of."""
+        """Dial an entry whose address was learned."""
         self._peers.entry_discovered(entry)
 
     def known_losses(self) -> list[LossNews]:
-        """Return what is remembered of lost runners."""
+        """Return the recorded losses of runners."""
         return self._dispatcher.known_losses(self._now())
 
     def receive_loss(self, news: LossNews, source: str) -> None:
-        """Take another entry's word on a lost runner."""
+        """Process another entry's report on a lost runner."""
         self._act(self._dispatcher.told_loss(self._now(), news, source))
 
     @property
     def speeds(self) -> Speeds:
-        """What is known of how slow the kinds of hosts are."""
+        """The measured slowness of each kind of host."""
         return self._dispatcher.speeds
 
     def receive_speeds(self, news: SpeedNews, source: str) -> None:
-        """Take another entry's word on kinds of hosts."""
+        """Process another entry's measurements of kinds of hosts."""
         self._act(self._dispatcher.told_speeds(self._now(), news, source))
 
     def target_count(self) -> int:
-        """Return how many targets are in session, for other entries."""
+        """Return the number of connected targets."""
         return len(self._links)
 
     def receive_target_count(self, targets: int, source: str) -> None:
-        """Take another entry's word on how many targets it has."""
+        """Record how many targets another entry is connected to."""
         self._targetless.told(self._now(), source, targets)
 
-    # The operator's word.
-
     @property
     def evacuations(self) -> Evacuations:
-        """The evacuated halls that are known."""
+        """The evacuated halls."""
         return self._dispatcher.evacuations
 
     def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
-        """Follow a word of evacuated halls if it is newer, and hand it on."""
+        """Apply a list of evacuated halls if it is newer, and broadcast what has changed."""
         before = self.evacuations.known
         self._act(self._dispatcher.told_evacuations(self._now(), evacuated, source))
         if set(self.evacuations.known.halls) != set(before.halls):
             self._peers.broadcast_evacuations(self.evacuations.known)
 
     def adopt_catalog(self, catalog: Catalog, source: str) -> None:
-        """Follow `catalog` if it is newer than the one in force."""
+        """Adopt `catalog` if it is newer than the one in force."""
         if catalog.version <= self.catalog.version:
             return
         before = self.catalog.version
@@ -421,54 +413,50 @@
             self._handle(exchange, waited)
 
     def catalog_requested(self, peer: str) -> None:
-        """Take note that another entry was asked for its configuration."""
+        """Log that another entry was asked for its configuration."""
         self._context.event("catalog_asked_for", entry=peer, version=self.catalog.version)
 
     def catalog_sent(self, peer: str, packed_bytes: int) -> None:
-        """Take note that another entry was sent the configuration."""
+        """Log that another entry was sent the configuration."""
         version = self.catalog.version
         self._context.event(
             "catalog_handed_out", entry=peer, version=version, packed_bytes=packed_bytes
         )
 
-    # The own link.
-
     def _connections(self) -> list[MeteredConnection]:
         return [*self._links.values(), *self._peers.links(), *self._callers.open]
 
-    def _is_turning_away(self, now: float) -> bool:
-        return self._meter.pressure.turns_away(now) and self._knows_another()
+    def _turns_away(self, now: float) -> bool:
+        return self._meter.pressure.turns_away(now) and self._has_alternative_entry()
 
-    def _knows_another(self) -> bool:
-        """Whether another entry is alive that may take what this one turns away."""
-        return self._peers.any_seen_within(OTHERS_SECONDS)
+    def _has_alternative_entry(self) -> bool:
+        """Whether another entry is alive that callers can be sent to."""
+        return self._peers.any_seen_within(ALTERNATIVE_ENTRY_SECONDS)
 
-    def _follow_pressure(self) -> None:
-        """Leave undone what the level of the own link says; answers under way always go out.
+    def _apply_link_pressure(self) -> None:
+        """Shed load according to the pressure of the own link; responses are always sent.
 
-        Callers whose connections the balancer no longer gives this entry are sent off with their
-        next answers.
+        Once the balancer has noticed that this entry isn't ready, keep-alive connections are closed
+        with their next responses.
         """
         now = self._now()
         level = self._meter.pressure.level
         self._peers.sheds = level is not PressureLevel.NORMAL
         pressed = level is PressureLevel.PRESSED
-        if self._is_turning_away(now):
+        if self._turns_away(now):
             self._unready_since = min(self._unready_since, now)
         else:
             self._unready_since = float("inf")
         noticed = now >= self._unready_since + BALANCER_DELAY_SECONDS
         self._callers.closing = self._leaving or noticed
-        refused = Refused("link_pressed", PRESSED_RETRY)
+        refused = Refused("link_pressed", OVERLOAD_RETRY_SECONDS)
         self._dispatcher.turned_away = refused if pressed else None
 
-    # Time and sending.
-
     async def _tick_forever(self) -> None:
         due = self._now()
         while True:
             self._meter.sample_when_due(self._now())
-            self._follow_pressure()
+            self._apply_link_pressure()
             self._targetless.count(self._now(), len(self._links))
             self._act(self._dispatcher.tick(self._now()))
             self._flush()
@@ -480,7 +468,7 @@
             await asyncio.sleep(due - now)
 
     def _close_silent(self) -> None:
-        """Break off half-open connections: a new one works sooner."""
+        """Close half-open connections, so that targets reconnect."""
         now = self._now()
         for target in self._dispatcher.targets():
             link = self._links.get(target.name)
@@ -497,23 +485,23 @@
         self._act(self._dispatcher.place_waiting(self._now()), flush=False)
         for link in list(self._links.values()):
             session = self._dispatcher.session(link.peer)
-            if session is not None and (session.pending or link.peer in self._owed):
+            if session is not None and (session.pending or link.peer in self._frame_due):
                 self._send(link, session)
-        self._owed.clear()
-        self._await_answers()
+        self._frame_due.clear()
+        self._schedule_answer_check()
 
-    def _await_answers(self) -> None:
-        """Look for idle targets that don't answer when the first is overdue."""
+    def _schedule_answer_check(self) -> None:
+        """Set the timer that checks idle targets for overdue answers."""
         due = self._dispatcher.answer_due()
         if due is not None and self._answers_timer is None:
             due_in = due - self._now() + TIMER_MARGIN
-            self._answers_timer = self._loop.call_later(due_in, self._check_answers)
+            self._answers_timer = self._loop.call_later(due_in, self._check_answers_soon)
 
-    def _check_answers(self) -> None:
-        """Check once all that has come is read: answers may have waited for this process."""
-        call_after_pending_io(self._loop, self._check_read_answers)
+    def _check_answers_soon(self) -> None:
+        """Check for overdue answers, once those already received are processed."""
+        call_after_pending_io(self._loop, self._check_answers)
 
-    def _check_read_answers(self) -> None:
+    def _check_answers(self) -> None:
         self._answers_timer = None
         self._act(self._dispatcher.check_answers(self._now()))
 
@@ -527,12 +515,12 @@
 
 
 def _unconfigured() -> Response:
-    """Return the answer to a request that comes without a configuration to go by."""
+    """Return the response to a request that arrives before the first configuration."""
     return Response(503, headers=[(RETRY_AFTER, "1")])
 
 
 @final
-class _Readiness:
+class _ReadinessPage:
     def __init__(self, service: EntryService) -> None:
         self._service = service
 
@@ -544,8 +532,8 @@
 
 
 @final
-class _TargetSide:
-    """Connections that others have made to this entry."""
+class _IncomingHandler:
+    """Handler of connections that targets and other entries have made to this entry."""
 
     def __init__(self, service: EntryService) -> None:
         self._service = service
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -83,7 +83,7 @@
             self._due = now + SAMPLE_SECONDS
             self.sample(now)
 
-    def show(self) -> None:
+    def add_gauges(self) -> None:
         """Add the gauges to the metrics page."""
         metrics = self._context.metrics
         metrics.gauge(
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -1,4 +1,4 @@
-"""The target process: the runner beside it and the entries around the worker."""
+"""The target process: connects the worker to its local runner and to the entries."""
 
 import asyncio
 import os
@@ -24,7 +24,6 @@
 from paddleshunt_core.leased.worker import Worker
 
 from paddleshunt_node.aio import clock
-from paddleshunt_node.aio.claims import Claims
 from paddleshunt_node.aio.dialer import Dialer
 from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
@@ -40,39 +39,40 @@
     Superseded,
 )
 from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
+from paddleshunt_node.aio.unconfirmed import UnconfirmedStatuses
 
 POLL_RETRY_SECONDS = 0.08
-"""Seconds before the next look after one that got no answer, or one that can't be read in full."""
+"""Seconds before the next poll after one without an answer, or with one that is partly invalid."""
 
-SHORT_PAUSE = 0.01
-"""Seconds between two looks that don't wait."""
+POLL_INTERVAL_SECONDS = 0.01
+"""Seconds between two polls that return at once."""
 
 FIRST_STORE_LOOKUP_SECONDS = 0.15
-"""Seconds after the start by which a seed has usually answered; the store is asked otherwise."""
+"""Seconds after the start at which the store is asked for entries if no seed has answered."""
 
 STORE_LOOKUP_SECONDS = 2.0
-"""Seconds between two later looks whether no session is left and the store is to be asked."""
+"""Seconds between later checks; without a connected entry, each asks the store."""
 
 END_MARGIN = 0.5
-"""Seconds before SIGKILL at which the process ends, whatever runs."""
+"""Seconds before SIGKILL at which the process exits, even if runs are left."""
 
 STORE = ""
-"""The store's name among the entries that tell of others."""
+"""Name of the store as a source of entries' addresses."""
 
 MISSED_HEARTBEATS = 1.2
-"""Heartbeats without a word, when the next one is due, that show that the last had no answer."""
+"""Heartbeat intervals of silence after which the last heartbeat counts as unanswered."""
 
 TIMER_MARGIN = 0.001
-"""Seconds that a timer may be early by the clock that it is checked with."""
+"""Seconds added to timers, as the event loop may fire them early by `clock.now`."""
 
-LAST_WORDS = 0.1
-"""Seconds for the last frames to leave."""
+FINAL_FLUSH_SECONDS = 0.1
+"""Seconds allowed for sending the last frames."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class TargetConfig:
-    """Who a target is and where it listens; addresses are host:port."""
+    """Identity and listening addresses (host:port) of a target."""
 
     name: str
     hall: str
@@ -85,7 +85,7 @@
 
 @final
 class TargetService:
-    """One target."""
+    """Runs one target until the process is stopped."""
 
     def __init__(
         self,
@@ -106,15 +106,15 @@
         self._suspensions = clock.SuspensionDetector()
         self._meter = LinkMeter(context, self._connections, self._echo_age, self._times.usual_echo)
         self._links: dict[str, PeerLink] = {}
-        self._names: dict[str, str] = {}
-        """Entries by the address at which they were met."""
-        self._said: dict[PeerLink, float] = {}
-        self._claims = Claims()
-        """Accounts of other lives than the known one."""
-        self._life_meant: RunnerLife | None = None
-        """The life that orders and looks are meant for."""
-        self._changes = 0
-        """How often that has become another life, or none."""
+        self._names_by_address: dict[str, str] = {}
+        """Names of entries by address."""
+        self._hello_sent_at: dict[PeerLink, float] = {}
+        self._unconfirmed = UnconfirmedStatuses()
+        """Statuses of incarnations other than the current one."""
+        self._addressed_incarnation: RunnerLife | None = None
+        """The incarnation that orders and polls are addressed to."""
+        self._applied_changes = 0
+        """Number of changes of the incarnation that have been applied."""
         self._choice = EntryChoice(config.name, config.hall)
         self._dialer = Dialer(
             self, config.address, self._times.session, self._may_dial, self._dial_failed
@@ -124,19 +124,17 @@
         self._runner_polled = False
         self._flushing = False
         self._report_timer: asyncio.TimerHandle | None = None
-        self._report_due = 0.0
-        """When the timer goes off."""
-
-    # The process.
+        self._report_due_at = 0.0
+        """When the timer fires."""
 
     async def run(self) -> None:
-        """Serve until told to stop, then leave."""
+        """Serve until the process is asked to stop, then shut down gracefully."""
         await self._start()
         await self._context.stopping.wait()
         await self._leave()
 
     def describe(self) -> dict[str, object]:
-        """Return a dump of the state."""
+        """Return the state for the dump page."""
         return {
             "name": self._config.name,
             "life": self._life,
@@ -145,22 +143,22 @@
         }
 
     def reload(self, seeds: set[str]) -> None:
-        """Adopt new settings."""
+        """Replace the seed addresses."""
         self._dialer.seeds(seeds)
 
     async def _start(self) -> None:
         self._loop = asyncio.get_running_loop()
-        registration = HttpServer(_Registration(self))
+        registration = HttpServer(_RegistrationPage(self))
         await registration.start(self._config.registration)
         pages = OperatorPages(self._context.metrics, self.describe)
         await serve_pages(pages, self._config.metrics, self._context)
-        self._gauges()
-        self._meter.show()
+        self._add_gauges()
+        self._meter.add_gauges()
         self._context.event("started", role="target", node=self._config.name, life=self._life)
         self._context.spawn(self._poll_forever())
         self._context.spawn(self._dialer.run())
         self._context.spawn(self._tick_forever())
-        self._context.spawn(self._find_entries())
+        self._context.spawn(self._find_entries_forever())
 
     async def _leave(self) -> None:
         began = self._now()
@@ -169,7 +167,7 @@
         while self._now() < last and not self._worker.idle:
             await asyncio.sleep(0.02)
         self._flush(heartbeat=True)
-        await asyncio.sleep(LAST_WORDS)
+        await asyncio.sleep(FINAL_FLUSH_SECONDS)
         self._context.cancel()
         self._context.event(
             "stopped", after_ms=round((self._now() - began) * 1000), runs=self._worker.runs
@@ -181,7 +179,7 @@
     def _echo_age(self) -> float | None:
         return self._worker.echo_age(self._now())
 
-    def _gauges(self) -> None:
+    def _add_gauges(self) -> None:
         metrics = self._context.metrics
         metrics.gauge("paddleshunt_runs", "Runs at work.", lambda: self._worker.runs)
         metrics.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._links))
@@ -192,80 +190,80 @@
             self._act(self._worker.suspended(suspended))
         return now
 
-    # The runner.
-
     def register(self, exchange: Exchange) -> None:
-        """Take what the runner says of itself."""
-        read = self._codec.read(exchange.request)
-        if isinstance(read, Response):
-            exchange.respond(read)
+        """Process a heartbeat or a deregistration of the runner."""
+        parsed = self._codec.read(exchange.request)
+        if isinstance(parsed, Response):
+            exchange.respond(parsed)
             return
-        if isinstance(read, RunnerDeregistration):
-            self._runner_ends(self._now(), read)
-        elif not self._take_account(read) and read.leaving:
-            # An acknowledgement would bind: without one the runner says it again.
+        if isinstance(parsed, RunnerDeregistration):
+            self._deregister(self._now(), parsed)
+        elif not self._accept_status(parsed) and parsed.leaving:
+            # The runner repeats a heartbeat that isn't acknowledged.
             exchange.respond(self._codec.decline())
             return
         exchange.respond(self._codec.acknowledge())
 
-    def _take_account(self, account: RunnerAccount) -> bool:
-        """Follow an account, or keep it with a claim; return whether either was done."""
-        is_claim = self._worker.judge(account) is Claim.DOUBTFUL
-        if is_claim or account.runner in self._claims:
-            self._claims.keep(account)
-        if is_claim:
+    def _accept_status(self, account: RunnerAccount) -> bool:
+        """Apply a status, or store it until it is confirmed; return whether either was done."""
+        is_unconfirmed = self._worker.judge(account) is Claim.DOUBTFUL
+        if is_unconfirmed or account.runner in self._unconfirmed:
+            self._unconfirmed.keep(account)
+        if is_unconfirmed:
             self._context.spawn(self._confirm(account))
         else:
-            self._follow(account)
-        return account in (self._worker.account, self._claims.newest(account.runner))
+            self._apply_status(account)
+        return account in (self._worker.account, self._unconfirmed.newest(account.runner))
 
-    def _follow(self, account: RunnerAccount) -> None:
-        """Follow the runner's account of itself."""
+    def _apply_status(self, account: RunnerAccount) -> None:
+        """Apply a status of the runner's current incarnation."""
         is_new = self._worker.judge(account) in (Claim.NEW, Claim.DOUBTFUL)
         if is_new or self._worker.account is None:
-            self._claims.clear()
+            self._unconfirmed.clear()
             name = str(account.runner)
             self._context.event("runner_found", runner=name, service=account.service)
         self._act(self._worker.runner_spoke(self._now(), account))
 
     async def _confirm(self, account: RunnerAccount) -> None:
-        """Follow another life than the known one if the runner says that it is this one.
+        """Switch to another incarnation if the runner confirms that it is the current one.
 
-        Without an answer, or if it is denied, the claim stays until the known life is found to have
-        ended: it may be the next one, which registers while this one drains.
+        Otherwise the status is kept until the known incarnation has ended: it may be of the next
+        one, which registers while the known one drains.
         """
-        changes = self._changes
+        changes = self._applied_changes
         answer = await self._runner.is_current_incarnation(account.runner)
-        if changes != self._changes:
-            # It may be of before that change; a claim that stands has been asked about again.
+        if changes != self._applied_changes:
+            # The answer may precede the change; pending statuses have been asked about again.
             return
-        account = self._claims.newest(account.runner) or account
+        account = self._unconfirmed.newest(account.runner) or account
         event = {True: "life_confirmed", False: "life_denied", None: "life_unanswered"}[answer]
         self._context.event(event, runner=str(account.runner))
-        claim = self._worker.judge(account)
+        heartbeat_class = self._worker.judge(account)
         if answer is False:
             self._worker.life_denied(account.runner)
-        elif claim in (Claim.NEW, Claim.CURRENT) or (answer and claim is Claim.DOUBTFUL):
-            self._follow(account)
-
-    def _meet_life(self) -> None:
-        """Mean the life that is followed now, if it is another one; ask again about claims."""
-        life = self._worker.life
-        if self._changes == self._worker.life_changes:
-            if life is not None and life != self._life_meant:
-                self._life_meant = life
-                self._runner.refine_identity(life)
+        elif heartbeat_class in (Claim.NEW, Claim.CURRENT) or (
+            answer and heartbeat_class is Claim.DOUBTFUL
+        ):
+            self._apply_status(account)
+
+    def _apply_incarnation_change(self) -> None:
+        """Address calls to the current incarnation; if it has changed, confirm statuses again."""
+        incarnation = self._worker.life
+        if self._applied_changes == self._worker.life_changes:
+            if incarnation is not None and incarnation != self._addressed_incarnation:
+                self._addressed_incarnation = incarnation
+                self._runner.refine_identity(incarnation)
             return
-        self._changes = self._worker.life_changes
-        self._life_meant = life
-        self._runner.expect(life)
-        for account in self._claims.all():
+        self._applied_changes = self._worker.life_changes
+        self._addressed_incarnation = incarnation
+        self._runner.expect(incarnation)
+        for account in self._unconfirmed.all():
             self._context.spawn(self._confirm(account))
 
-    def _runner_ends(self, now: float, ends: RunnerDeregistration) -> None:
-        self._context.event("runner_left", runner=str(ends.runner))
-        self._claims.drop(ends.runner)
-        self._act(self._worker.runner_left(now, ends.runner))
+    def _deregister(self, now: float, deregistration: RunnerDeregistration) -> None:
+        self._context.event("runner_left", runner=str(deregistration.runner))
+        self._unconfirmed.drop(deregistration.runner)
+        self._act(self._worker.runner_left(now, deregistration.runner))
 
     async def _poll_forever(self) -> None:
         failures = 0
@@ -277,19 +275,18 @@
                 failures = 0
                 self._record_first_poll()
                 self._act(self._worker.looked(now, answer))
-                # The runner doesn't wait either while an end that can't be read is listed, which
-                # may be for good.
+                # While an invalid end is listed, perhaps for good, the runner answers at once.
                 if answer.partial:
                     await asyncio.sleep(POLL_RETRY_SECONDS)
                 elif poll.wait == 0:
-                    await asyncio.sleep(SHORT_PAUSE)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
                 continue
             if isinstance(answer, Superseded):
                 continue
             self._act(
                 self._worker.look_failed(now, other_life=isinstance(answer, OtherIncarnation))
             )
-            # The first failure may be one lost answer, and the lease is running: look at once.
+            # Retry the first failure at once: the lease needs renewal, and one answer may be lost.
             failures += 1
             if failures > 1:
                 await asyncio.sleep(POLL_RETRY_SECONDS)
@@ -326,7 +323,7 @@
         self._act(self._worker.stop_answered(self._now(), order.run, done=done))
 
     def _act(self, effects: list[Effect]) -> None:
-        self._meet_life()
+        self._apply_incarnation_change()
         for effect in effects:
             match effect:
                 case StartRun():
@@ -345,32 +342,30 @@
         if log.event == "run_ended":
             self._context.metrics.ended(str(log.fields["end"]))
 
-    # Entries.
-
     def connection_opened(self, link: PeerLink) -> None:
-        """Greet an entry that was dialled."""
-        name = self._names.get(self._dialer.address_of(link), "")
-        if not self._may_greet(name):
+        """Send a hello to an entry that was dialled."""
+        name = self._names_by_address.get(self._dialer.address_of(link), "")
+        if not self._may_open_session(name):
             link.close()
             return
         session = self._worker.session(name)
         number, received = (session.number, session.received) if session else (0, 0)
         config = self._config
-        self._said[link] = self._now()
+        self._hello_sent_at[link] = self._now()
         link.send(
             Hello(config.name, self._life, False, config.hall, config.address, number, received)
         )
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
-        """Take an entry's greeting."""
+        """Open or resume the session that an entry's hello names."""
         now = self._now()
-        self._names[self._dialer.address_of(link)] = hello.name
-        said = self._said.pop(link, now)
+        self._names_by_address[self._dialer.address_of(link)] = hello.name
+        sent_at = self._hello_sent_at.pop(link, now)
         if not hello.session:
             self._act(self._worker.closed(now, hello.name))
             link.close()
             return
-        self._act(self._worker.opened(now, hello, said))
+        self._act(self._worker.opened(now, hello, sent_at))
         session = self._worker.session(hello.name)
         if session is None or session.number != hello.session:
             link.close()
@@ -379,7 +374,7 @@
         self._flush(heartbeat=True)
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
-        """Take a frame of an entry."""
+        """Process a frame of an entry."""
         if self._links.get(link.peer) is not link:
             return
         now = self._now()
@@ -387,62 +382,62 @@
             if isinstance(body, Entries):
                 entries = valid_entries(body.entries, link.peer, self._context.refuse)
                 self._choice.told(link.peer, entries)
-                self._note_addresses(now, entries)
+                self._dial_entries(now, entries)
             elif isinstance(body, EntryChanges):
                 joined = valid_entries(body.joined, link.peer, self._context.refuse)
                 self._choice.changed(link.peer, joined, body.gone)
-                self._note_addresses(now, joined)
+                self._dial_entries(now, joined)
         self._act(self._worker.heard(now, link.peer, frame))
         if self._worker.session(link.peer) is None:
             link.close()
 
     def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
-        """Take note of a message that can't be read."""
+        """Count and log a message that can't be decoded."""
         self._context.refuse(refusal)
 
     def connection_closed(self, link: PeerLink) -> None:
-        """Take the end of a connection; its session goes on for a while."""
-        self._said.pop(link, None)
+        """Record that a connection has ended; its session can be resumed for a while."""
+        self._hello_sent_at.pop(link, None)
         if link.peer and self._links.get(link.peer) is link:
             del self._links[link.peer]
             self._dialer.lost(link)
 
-    def _note_addresses(self, now: float, entries: list[EntryAddress]) -> None:
+    def _dial_entries(self, now: float, entries: list[EntryAddress]) -> None:
         for entry in entries:
-            self._names[entry.address] = entry.name
+            self._names_by_address[entry.address] = entry.name
             self._dialer.want(now, entry.address)
 
     def _may_dial(self, address: str) -> bool:
-        name = self._names.get(address, "")
-        if not self._may_greet(name):
+        name = self._names_by_address.get(address, "")
+        if not self._may_open_session(name):
             return False
         if not self._links:
             return True
         if not name:
             return not self._choice.knows()
-        return any(entry.name == name for entry in self._wanted())
+        return any(entry.name == name for entry in self._wanted_entries())
 
     def _dial_failed(self, address: str) -> None:
-        name = self._names.get(address)
+        name = self._names_by_address.get(address)
         if name is not None:
             self._choice.suspect(self._now(), name)
 
-    def _wanted(self) -> list[EntryAddress]:
+    def _wanted_entries(self) -> list[EntryAddress]:
         return self._choice.wanted(self._now(), set(self._links))
 
-    def _retire(self, now: float) -> None:
-        """Give up sessions beyond those to be kept: the better ones are open.
+    def _close_surplus_sessions(self, now: float) -> None:
+        """Close sessions beyond those to be kept, once the preferred ones are open.
 
-        An idle one without a connection is no better one: its entry may have ended.
+        An idle session without a connection doesn't count as open: its entry may have exited.
         """
         open_now = self._worker.session_names() & self._links.keys() | self._worker.held_names()
         self._act(self._worker.retire(now, self._choice.kept(open_now)))
 
-    def _may_greet(self, name: str) -> bool:
+    def _may_open_session(self, name: str) -> bool:
         return self._worker.session(name) is not None or self._worker.may_open(name)
 
-    async def _find_entries(self) -> None:
-        """Ask the store for entries when none has been met for a while."""
+    async def _find_entries_forever(self) -> None:
+        """Ask the store for entries while none is connected, until cancelled."""
         pause = FIRST_STORE_LOOKUP_SECONDS
         while True:
             await asyncio.sleep(pause)
@@ -451,20 +446,18 @@
                 await self._ask_for_entries()
 
     async def _ask_for_entries(self) -> None:
-        """Dial those of the announced entries that this target is to have sessions with."""
+        """Dial those of the store's entries that this target needs sessions with."""
         try:
             entries = await self._store.entries()
         except StoreUnavailableError as problem:
             self._context.event("store_unavailable", reason=str(problem))
             return
         self._choice.told(STORE, entries)
-        self._names.update({entry.address: entry.name for entry in entries})
+        self._names_by_address.update({entry.address: entry.name for entry in entries})
         now = self._now()
-        for entry in self._wanted():
+        for entry in self._wanted_entries():
             self._dialer.want(now, entry.address)
 
-    # Time and sending.
-
     async def _tick_forever(self) -> None:
         due = self._now()
         while True:
@@ -472,8 +465,8 @@
             self._meter.sample_when_due(now)
             self._worker.sheds = self._meter.pressure.level is not PressureLevel.NORMAL
             self._act(self._worker.tick(now))
-            self._retire(now)
-            self._dialer.keep(now, [entry.address for entry in self._wanted()])
+            self._close_surplus_sessions(now)
+            self._dialer.keep(now, [entry.address for entry in self._wanted_entries()])
             self._close_silent(now)
             self._flush(heartbeat=True)
             now = self._now()
@@ -481,28 +474,27 @@
             await asyncio.sleep(due - now)
 
     def _close_silent(self, now: float) -> None:
-        """Break off connections whose session is over, or that say nothing.
+        """Close connections whose session has expired, or that are silent.
 
-        A connection may have fallen silent for good while a new one works, so it is made anew while
-        the session can still go on over it.
+        A silent connection is replaced while its session can still be resumed over a new one.
         """
         held = self._worker.held_names()
-        fallen_silent = False
+        any_silent = False
         for name, link in list(self._links.items()):
             silent = self._worker.silence(now, name)
             if silent > (self._times.session if name in held else self._times.idle_session):
                 self._choice.suspect(now, name)
             if self._worker.is_silent(now, name):
                 link.close()
-                fallen_silent = True
+                any_silent = True
             elif name in held and silent > MISSED_HEARTBEATS * self._times.heartbeat:
-                # The next tick may come too late for the session to go on.
+                # The next tick may come too late to resume the session.
                 due_in = self._times.redial - silent + TIMER_MARGIN
                 self._loop.call_later(due_in, lambda: self._close_silent(self._now()))
-        if fallen_silent:
+        if any_silent:
             self._worker.probe()
-        for link, said in list(self._said.items()):
-            if now > said + self._times.session:
+        for link, sent_at in list(self._hello_sent_at.items()):
+            if now > sent_at + self._times.session:
                 self._dial_failed(self._dialer.address_of(link))
                 link.close()
 
@@ -511,13 +503,13 @@
             self._flushing = True
             self._loop.call_soon(self._flush)
 
-    def _flush_reports_at(self, due: float) -> None:
+    def _schedule_report_flush(self, due: float) -> None:
         timer = self._report_timer
         if timer is not None:
-            if self._report_due <= due:
+            if self._report_due_at <= due:
                 return
             timer.cancel()
-        self._report_due = due
+        self._report_due_at = due
         self._report_timer = self._loop.call_later(due - self._now(), self._flush_reports)
 
     def _flush_reports(self) -> None:
@@ -529,7 +521,7 @@
         now = self._now()
         next_report = self._worker.prepare_frames(now)
         if next_report is not None:
-            self._flush_reports_at(next_report)
+            self._schedule_report_flush(next_report)
         for name, link in self._links.items():
             frame = self._worker.next_frame(now, name, beat=heartbeat)
             if frame is not None:
@@ -537,7 +529,7 @@
 
 
 @final
-class _Registration:
+class _RegistrationPage:
     def __init__(self, service: TargetService) -> None:
         self._service = service
 
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -432,7 +432,7 @@
     async def scene(entry: Entry, pressure: Pressure) -> None:
         entry.service.receive_target_count(others, "e9")
         links = entry.service._links
-        links["t1"] = PeerLink(entry.service._target_side, 1.0)
+        links["t1"] = PeerLink(entry.service._incoming_handler, 1.0)
         await asyncio.sleep(0.2)
         assert await entry.ready() == 200
         links.clear()
