--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/dialer.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/dialer.py
@@ -1,4 +1,4 @@
-"""Keeps connections to a changing set of peers."""
+"""Keeps connections to a changing set of addresses."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,30 +9,31 @@
 from paddleshunt_node.aio.sockets import split_address
 
 CONNECT_TIMEOUT = 0.4
-"""Seconds for a connection to be made; behind a cut it would hang for minutes."""
+"""Seconds for a connection to be established."""
 
 RETRY_SECONDS = 0.25
 """Seconds between two attempts at one address."""
 
-CALM_SECONDS = 1.0
-"""The same while each address that may be dialled has its connection: nothing is missed by it.
+CONNECTED_RETRY_SECONDS = 1.0
+"""Seconds between two rounds while no connection is missing.
 
-An address that is heard of, or whose connection ends, is tried at once.
+New addresses, and those whose connection ends, are dialled at once.
 """
 
-LONELY_RETRY_SECONDS = 0.08
-"""The same while no connection stands, as after a loss of all power: nothing works till one does.
+DISCONNECTED_RETRY_SECONDS = 0.08
+"""Seconds between two rounds while no connection is open."""
 
-One entry's start-up takes 0.4 s; five attempts in that time cost less than one job's messages.
-"""
-
-FORGET_SECONDS = 20.0
-"""Seconds without a connection after which an address is tried no more, unless it is a seed."""
+ADDRESS_EXPIRY_SECONDS = 20.0
+"""Seconds after which an unconnected address that isn't a seed is dropped."""
 
 
 @final
 class Dialer:
-    """Holds one connection to each wanted address, and tries again when it breaks."""
+    """Keeps one connection to each wanted address, and dials again when it ends.
+
+    `own` is never dialled; `silence` is the connections' time-out in seconds; `may_dial` is asked
+    before each attempt, and `failed` is called with the address after a failed one.
+    """
 
     def __init__(
         self,
@@ -53,53 +54,56 @@
         self._dialing: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def seeds(self, addresses: set[str]) -> None:
-        """Try these addresses for ever."""
+    def set_seeds(self, addresses: set[str]) -> None:
+        """Replace the addresses that are always dialled."""
         self._seeds = addresses - {self._own}
 
-    def want(self, now: float, address: str) -> None:
-        """Try this address, at once and for a while; it was heard of just now."""
+    def add(self, now: float, address: str) -> None:
+        """Add an address, and dial it at once."""
         if address != self._own:
             self._wanted[address] = now
-            self._try(address)
+            self._dial_if_missing(address)
 
-    def keep(self, now: float, addresses: list[str]) -> None:
-        """Go on trying these addresses, in rounds."""
+    def refresh(self, now: float, addresses: list[str]) -> None:
+        """Keep addresses from being dropped."""
         for address in addresses:
             if address != self._own:
                 self._wanted[address] = now
 
     def links(self) -> list[PeerLink]:
-        """Return the connections that stand."""
+        """Return the open connections."""
         return [link for link in self._links.values() if link.is_open]
 
     def address_of(self, link: PeerLink) -> str:
-        """Return the address that a connection was made to; empty if it is none of ours."""
+        """Return the address that a connection was made to, or "" if it is unknown."""
         return next((a for a, known in self._links.items() if known is link), "")
 
-    def lost(self, link: PeerLink) -> None:
-        """Dial again at once where a connection has ended that had stood for a while.
+    def redial(self, link: PeerLink) -> None:
+        """Dial again at once after a connection has ended.
 
-        One that ends as soon as it stands waits for the next round, or both sides would be busy
-        with nothing else.
+        If it ended as soon as it was made, wait for the next round, to avoid a busy loop.
         """
         address = self.address_of(link)
-        if address and clock.now() > link.made + RETRY_SECONDS:
-            self._try(address)
+        if address and clock.now() > link.created_at + RETRY_SECONDS:
+            self._dial_if_missing(address)
 
     async def run(self) -> None:
-        """Try addresses until cancelled."""
+        """Dial missing connections in rounds until cancelled."""
         while True:
             now = clock.now()
-            for address in [a for a, at in self._wanted.items() if at < now - FORGET_SECONDS]:
+            for address in [
+                a for a, at in self._wanted.items() if at < now - ADDRESS_EXPIRY_SECONDS
+            ]:
                 if address not in self._links:
                     del self._wanted[address]
-            tried = [self._try(address) for address in self._seeds | self._wanted.keys()]
-            pause = RETRY_SECONDS if any(tried) else CALM_SECONDS
-            await asyncio.sleep(pause if self.links() else LONELY_RETRY_SECONDS)
-
-    def _try(self, address: str) -> bool:
-        """Dial unless there is a connection or may be none; return whether one is being made."""
+            attempts = [
+                self._dial_if_missing(address) for address in self._seeds | self._wanted.keys()
+            ]
+            pause = RETRY_SECONDS if any(attempts) else CONNECTED_RETRY_SECONDS
+            await asyncio.sleep(pause if self.links() else DISCONNECTED_RETRY_SECONDS)
+
+    def _dial_if_missing(self, address: str) -> bool:
+        """Dial unless connected or not allowed; return whether an attempt is under way."""
         link = self._links.get(address)
         if link is not None and link.is_open:
             return False
@@ -115,7 +119,7 @@
 
     async def _dial(self, address: str) -> None:
         link = PeerLink(self._handler, self._silence)
-        # Known before it opens, so that the handler can ask whom it dialled.
+        # Stored before it opens, as the handler may call `address_of`.
         self._links[address] = link
         loop = asyncio.get_running_loop()
         try:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the other entries, and says to them: who lives, the operator's word."""
+"""Gossip between entries: live entries, configurations, evacuations and lost runners."""
 
 import asyncio
 from random import Random
@@ -35,25 +35,24 @@
 from paddleshunt_node.aio.framing import PeerLink
 
 GOSSIP_SECONDS = 0.4
-"""Seconds between two messages to each other entry."""
+"""Seconds between two gossip messages to each other entry."""
 
 SHED_GOSSIP_SECONDS = 0.7
-"""The same while the own link is pressed: two rounds fit into the time for which an entry counts
-as alive."""
+"""Seconds between gossip messages while the own link is overloaded; two rounds fit into
+`ENTRY_ALIVE_SECONDS`."""
 
 ENTRY_ALIVE_SECONDS = 1.5
-"""Seconds since an entry was heard for which it counts as alive."""
+"""Seconds since an entry's last message for which it counts as alive."""
 
 ANNOUNCE_DELAY_SECONDS = 0.05
-"""Seconds for which newly met entries are collected before targets are told of them."""
-
+"""Seconds for which new entries are collected before they are announced to targets."""
 
 MIN_SPREAD_INTERVAL_SECONDS = 0.02
-"""Shortest time between two looks at what the spreading of a configuration needs."""
+"""Minimum seconds between two steps of spreading a configuration."""
 
 
 class PeerOwner(Protocol):
-    """The entry that speaks to the others."""
+    """The entry on whose behalf `EntryPeers` sends and receives."""
 
     @property
     def catalog(self) -> Catalog:
@@ -61,52 +60,55 @@
 
     @property
     def evacuations(self) -> Evacuations:
-        """The evacuated halls that are known."""
+        """The evacuated halls."""
 
     def adopt_catalog(self, catalog: Catalog, source: str) -> None:
-        """Take a configuration that another entry has."""
+        """Adopt another entry's configuration if it is newer."""
 
     def catalog_requested(self, peer: str) -> None:
-        """Take note that another entry was asked for its configuration."""
+        """Record that another entry was asked for its configuration."""
 
     def catalog_sent(self, peer: str, packed_bytes: int) -> None:
-        """Take note that another entry was sent the configuration."""
+        """Record that another entry was sent the configuration."""
 
     def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
-        """Take the evacuated halls that another entry knows."""
+        """Apply another entry's list of evacuated halls if it is newer."""
 
     def known_losses(self) -> list[LossNews]:
-        """Return what is remembered of lost runners."""
+        """Return the recorded losses of runners."""
 
     def receive_loss(self, news: LossNews, source: str) -> None:
-        """Take another entry's word on a lost runner."""
+        """Process another entry's report on a lost runner."""
 
     @property
     def speeds(self) -> Speeds:
-        """What is known of how slow the kinds of hosts are."""
+        """The measured slowness of each kind of host."""
 
     def receive_speeds(self, news: SpeedNews, source: str) -> None:
-        """Take another entry's word on kinds of hosts."""
+        """Process another entry's measurements of kinds of hosts."""
 
     def target_count(self) -> int:
-        """Return how many targets are in session."""
+        """Return the number of connected targets."""
 
     def receive_target_count(self, targets: int, source: str) -> None:
-        """Take another entry's word on how many targets it has."""
+        """Record how many targets another entry is connected to."""
 
     def entry_found(self, entry: EntryAddress) -> None:
-        """Take note of an entry that is new, or has moved."""
+        """Record an entry that is new or whose address has changed."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Take note of a word that can't be read."""
+        """Record a message that can't be decoded."""
 
     def notify_targets(self, changes: EntryChanges) -> None:
-        """Tell the targets which entries have joined or gone."""
+        """Send all targets the entries that have joined or gone."""
 
 
 @final
 class EntryPeers:
-    """The other entries, and the connections that this entry has made to them."""
+    """Tracks the other entries, and exchanges gossip with them.
+
+    `greeting` is sent over each new connection; `silence` is its time-out in seconds.
+    """
 
     def __init__(
         self,
@@ -121,53 +123,53 @@
         self._greeting = greeting
         self._known: dict[str, tuple[EntryAddress, float]] = {}
         self._announced: dict[str, EntryAddress] = {own.name: own}
-        """The entries that targets have been told of."""
+        """The entries last announced to targets, by name."""
         self._announcing = False
         self._list_turn = 0
         self.sheds = False
-        """Whether this host's link is pressed, so that what can wait is left out."""
+        """Whether this host's link is overloaded, so that deferrable messages are left out."""
         self._spread = CatalogSpread(Random(), link_mbps)
         self._requesters: dict[str, PeerLink] = {}
-        """By name, the connection over which an entry has asked for the configuration."""
+        """Connections of the entries that have requested the configuration, by name."""
         self._packed = PackedCatalog(0, b"")
         self._spread_timer: asyncio.TimerHandle | None = None
         self._spread_due = 0.0
-        """When that timer goes off."""
+        """When the timer fires."""
         self._dialer = Dialer(self, own.address, silence, lambda _: True)
 
-    def seeds(self, addresses: set[str]) -> None:
-        """Try these addresses for ever."""
-        self._dialer.seeds(addresses)
+    def set_seeds(self, addresses: set[str]) -> None:
+        """Replace the addresses that are always dialled."""
+        self._dialer.set_seeds(addresses)
 
     def links(self) -> list[PeerLink]:
-        """Return the connections to other entries that this one has made."""
+        """Return the open connections that this entry has made to others."""
         return self._dialer.links()
 
     def names(self) -> list[str]:
-        """Return the names of all entries that were met."""
+        """Return the names of all other entries that were ever seen."""
         return sorted(self._known)
 
     def live(self) -> list[EntryAddress]:
-        """Return the entries that were heard lately, and this one."""
+        """Return this entry, and those whose last message is recent."""
         now = clock.now()
         live = [entry for entry, at in self._known.values() if now < at + ENTRY_ALIVE_SECONDS]
         return sorted([*live, self._own])
 
     def any_seen_within(self, seconds: float) -> bool:
-        """Whether any other entry was heard in the last so many seconds."""
+        """Whether any other entry has sent a message in the last `seconds`."""
         now = clock.now()
         return any(now < at + seconds for _, at in self._known.values())
 
     def announced(self) -> list[EntryAddress]:
-        """Return the entries that targets have been told of; what changes is told to all."""
+        """Return the entries last announced; a target gets these first, and later only changes."""
         return sorted(self._announced.values())
 
     def entry_discovered(self, entry: EntryAddress) -> None:
-        """Dial an entry that was heard of."""
-        self._dialer.want(clock.now(), entry.address)
+        """Dial an entry whose address was learned."""
+        self._dialer.add(clock.now(), entry.address)
 
     def record_entry(self, entry: EntryAddress) -> None:
-        """Take an entry's greeting."""
+        """Record an entry that has sent a hello, and announce it if it is new."""
         if not valid_entries([entry], entry.name, self._owner.refuse):
             return
         known = self._known.get(entry.name)
@@ -179,16 +181,16 @@
             self._announce_soon()
 
     def announce_catalog(self, catalog: Catalog) -> None:
-        """Tell all which version is in force now; who can't get it elsewhere asks for it."""
+        """Send all entries the version in force; those without another source request it."""
         self._spread.adopted(catalog.version)
         self._send_all(CatalogVersion(catalog.version))
 
     def broadcast_evacuations(self, evacuated: EvacuatedHalls) -> None:
-        """Tell all which halls are evacuated."""
+        """Send all entries the evacuated halls."""
         self._send_all(EvacuationNews(evacuated))
 
     def broadcast_loss(self, news: LossNews) -> None:
-        """Hand a word on a lost runner on to all."""
+        """Send all entries a report on a lost runner."""
         self._send_all(news)
 
     async def dial_forever(self) -> None:
@@ -196,12 +198,11 @@
         await self._dialer.run()
 
     async def gossip_forever(self) -> None:
-        """Tell entries and targets what is known until cancelled.
+        """Send entries and targets the known state until cancelled.
 
-        A round tells each entry no more than the versions, so that its bytes grow with the entries
-        and not with their square. Who lives is told when an entry is met; one other entry a round
-        gets the whole list, in turn, in case it missed something. How slow kinds of hosts are is
-        told when it has changed.
+        A round sends each entry only versions and counts, so that its bytes grow linearly with the
+        number of entries. The list of live entries goes to new connections, and to one entry a
+        round in turn, which repairs what was missed. Speeds are sent when they have changed.
         """
         while True:
             self._announce_changes()
@@ -230,7 +231,7 @@
             asyncio.get_running_loop().call_later(ANNOUNCE_DELAY_SECONDS, self._announce_changes)
 
     def _announce_changes(self) -> None:
-        """Tell targets which entries have joined or gone since they were told."""
+        """Send targets the entries that have joined or gone since the last announcement."""
         self._announcing = False
         live = {entry.name: entry for entry in self.live()}
         joined = [entry for entry in live.values() if self._announced.get(entry.name) != entry]
@@ -239,14 +240,12 @@
             self._announced = live
             self._owner.notify_targets(EntryChanges(joined, gone))
 
-    # The configuration.
-
-    def _handle_version(self, link: PeerLink, told: CatalogVersion) -> None:
-        if told.wanted:
+    def _handle_version(self, link: PeerLink, offered: CatalogVersion) -> None:
+        if offered.wanted:
             self._requesters[link.peer] = link
-            self._spread.asked(link.peer, told.version)
+            self._spread.asked(link.peer, offered.version)
         else:
-            self._spread.told(clock.now(), link.peer, told.version)
+            self._spread.told(clock.now(), link.peer, offered.version)
         self._spread_when_due()
 
     def _handle_packed_catalog(self, link: PeerLink, packed: PackedCatalog) -> None:
@@ -271,25 +270,25 @@
         self._spread_timer = loop.call_later(due - clock.now(), self._spread_catalog)
 
     def _spread_catalog(self) -> None:
-        """Ask for a configuration, or hand a copy out, if it is time."""
+        """Request a configuration, or send copies of it, as far as due."""
         self._spread_timer = None
         for step in self._spread.act(clock.now(), hands_out=not self.sheds):
             match step:
                 case AskFor():
-                    self._ask_for_catalog(step.peer)
+                    self._request_catalog(step.peer)
                 case HandOut():
-                    self._hand_out_catalog(step.peer)
+                    self._send_catalog(step.peer)
         self._spread_when_due()
 
-    def _ask_for_catalog(self, peer: str) -> None:
-        question = CatalogVersion(self._owner.catalog.version, wanted=True)
+    def _request_catalog(self, peer: str) -> None:
+        request = CatalogVersion(self._owner.catalog.version, wanted=True)
         for link in self._dialer.links():
             if link.peer == peer:
-                link.send(_sessionless_frame(question))
+                link.send(_sessionless_frame(request))
                 self._owner.catalog_requested(peer)
                 return
 
-    def _hand_out_catalog(self, peer: str) -> None:
+    def _send_catalog(self, peer: str) -> None:
         catalog = self._owner.catalog
         if self._packed.version != catalog.version:
             self._packed = pack(catalog)
@@ -298,10 +297,8 @@
         self._spread.handed_out(clock.now(), size)
         self._owner.catalog_sent(peer, size)
 
-    # Connections that this entry has made.
-
     def connection_opened(self, link: PeerLink) -> None:
-        """Greet an entry that was dialled; tell it all others, lost runners and kinds of hosts."""
+        """Send a dialled entry the hello and the whole known state."""
         link.send(self._greeting)
         speeds = self._owner.speeds.known()
         known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
@@ -309,11 +306,11 @@
         link.send(_sessionless_frame(Entries(self.live()), version, *known))
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
-        """Take the greeting of an entry that was dialled."""
+        """Record an entry that was dialled."""
         self.record_entry(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
-        """Take what another entry says, over whichever connection."""
+        """Process a frame of another entry, over either side's connection."""
         for body in frame.bodies:
             self._handle_body(link, body)
         known = self._known.get(link.peer)
@@ -350,16 +347,16 @@
                 pass
 
     def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
-        """Take note of a message that can't be read."""
+        """Record a message that can't be decoded."""
         self._owner.refuse(refusal)
 
     def connection_closed(self, link: PeerLink) -> None:
-        """Make another connection."""
+        """Drop the peer's pending request, and dial it again."""
         self._spread.left(link.peer)
         self._requesters.pop(link.peer, None)
-        self._dialer.lost(link)
+        self._dialer.redial(link)
 
 
 def _sessionless_frame(*bodies: Body) -> Frame:
-    """Return a frame outside any session."""
+    """Return a frame that belongs to no session."""
     return Frame(1, 0, 0, 0, list(bodies))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -122,7 +122,7 @@
         own = EntryAddress(config.name, config.peers, self._life, config.hall)
         greeting, silence = self._hello(0, 0), self._times.session
         self._peers = EntryPeers(self, own, greeting, silence, config.link_mbps)
-        self._peers.seeds(set(config.seeds))
+        self._peers.set_seeds(set(config.seeds))
         self._follower = StoreFollower(store, context, own, self)
         self._meter = LinkMeter(
             context,
@@ -209,7 +209,7 @@
 
     def reload(self, seeds: set[str]) -> None:
         """Replace the seed addresses."""
-        self._peers.seeds(seeds)
+        self._peers.set_seeds(seeds)
 
     def _now(self) -> float:
         return clock.now()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -49,7 +49,7 @@
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
         self.peer = ""
-        self.made = clock.now()
+        self.created_at = clock.now()
         """When it was dialled or taken."""
         self.written = 0
         """Bytes that were handed to it."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -119,7 +119,7 @@
         self._dialer = Dialer(
             self, config.address, self._times.session, self._may_dial, self._dial_failed
         )
-        self._dialer.seeds(set(config.seeds))
+        self._dialer.set_seeds(set(config.seeds))
         self._loop: asyncio.AbstractEventLoop
         self._runner_polled = False
         self._flushing = False
@@ -144,7 +144,7 @@
 
     def reload(self, seeds: set[str]) -> None:
         """Replace the seed addresses."""
-        self._dialer.seeds(seeds)
+        self._dialer.set_seeds(seeds)
 
     async def _start(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -400,12 +400,12 @@
         self._hello_sent_at.pop(link, None)
         if link.peer and self._links.get(link.peer) is link:
             del self._links[link.peer]
-            self._dialer.lost(link)
+            self._dialer.redial(link)
 
     def _dial_entries(self, now: float, entries: list[EntryAddress]) -> None:
         for entry in entries:
             self._names_by_address[entry.address] = entry.name
-            self._dialer.want(now, entry.address)
+            self._dialer.add(now, entry.address)
 
     def _may_dial(self, address: str) -> bool:
         name = self._names_by_address.get(address, "")
@@ -456,7 +456,7 @@
         self._names_by_address.update({entry.address: entry.name for entry in entries})
         now = self._now()
         for entry in self._wanted_entries():
-            self._dialer.want(now, entry.address)
+            self._dialer.add(now, entry.address)
 
     async def _tick_forever(self) -> None:
         due = self._now()
@@ -466,7 +466,7 @@
             self._worker.sheds = self._meter.pressure.level is not PressureLevel.NORMAL
             self._act(self._worker.tick(now))
             self._close_surplus_sessions(now)
-            self._dialer.keep(now, [entry.address for entry in self._wanted_entries()])
+            self._dialer.refresh(now, [entry.address for entry in self._wanted_entries()])
             self._close_silent(now)
             self._flush(heartbeat=True)
             now = self._now()
--- a/testing/node/aio/test_dialer.py
+++ b/testing/node/aio/test_dialer.py
@@ -1,4 +1,4 @@
-"""Which addresses are dialled, and when."""
+"""Tests for `Dialer`: which addresses are dialled, and when."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Handler:
-    """Notes which connections were made."""
+    """Records whether a connection was made."""
 
     def __init__(self) -> None:
         self.made = asyncio.Event()
@@ -37,42 +37,42 @@
     return await asyncio.start_server(lambda *_: None, "127.0.0.1", port)
 
 
-def test_an_address_just_heard_of_is_dialled_without_waiting_for_a_round() -> None:
-    async def scene() -> None:
+def test_new_address_is_dialled_at_once() -> None:
+    async def scenario() -> None:
         port = free_port()
         server = await _listen(port)
         handler = Handler()
-        # No round runs here: only the word of the address can bring the connection.
-        Dialer(handler, "own", 1.0, lambda _: True).want(0.0, f"127.0.0.1:{port}")
+        # `run` isn't called, so that only `add` can dial.
+        Dialer(handler, "own", 1.0, lambda _: True).add(0.0, f"127.0.0.1:{port}")
         await asyncio.wait_for(handler.made.wait(), 10)
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_an_address_that_may_not_be_dialled_is_left_alone() -> None:
-    async def scene() -> None:
+def test_disallowed_address_is_not_dialled() -> None:
+    async def scenario() -> None:
         port = free_port()
         server = await _listen(port)
         handler = Handler()
-        Dialer(handler, "own", 1.0, lambda _: False).want(0.0, f"127.0.0.1:{port}")
+        Dialer(handler, "own", 1.0, lambda _: False).add(0.0, f"127.0.0.1:{port}")
         await asyncio.sleep(0.1)
         assert not handler.made.is_set()
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
     ("connected", "missing", "pause"),
     [
-        (False, True, dialer.LONELY_RETRY_SECONDS),
+        (False, True, dialer.DISCONNECTED_RETRY_SECONDS),
         (True, True, dialer.RETRY_SECONDS),
-        (True, False, dialer.CALM_SECONDS),
+        (True, False, dialer.CONNECTED_RETRY_SECONDS),
     ],
-    ids=["lonely", "one_missing", "all_connected"],
+    ids=["disconnected", "one_missing", "all_connected"],
 )
-def test_rounds_are_short_only_while_connections_are_missing(
+def test_pause_between_rounds_depends_on_missing_connections(
     connected: bool, missing: bool, pause: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     pauses: list[float] = []
@@ -81,39 +81,39 @@
         pauses.append(seconds)
         raise asyncio.CancelledError
 
-    async def scene() -> None:
+    async def scenario() -> None:
         port = free_port()
         server = await _listen(port)
         handler = Handler()
         keeper = Dialer(handler, "own", 1.0, lambda _: True)
         if connected:
-            keeper.want(0.0, f"127.0.0.1:{port}")
+            keeper.add(0.0, f"127.0.0.1:{port}")
             await asyncio.wait_for(handler.made.wait(), 10)
         if missing:
-            keeper.seeds({f"127.0.0.1:{free_port()}"})
+            keeper.set_seeds({f"127.0.0.1:{free_port()}"})
         monkeypatch.setattr(dialer.asyncio, "sleep", sleep)
         with pytest.raises(asyncio.CancelledError):
             await keeper.run()
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert pauses == [pause]
 
 
-def test_a_connection_that_had_stood_is_dialled_again_as_soon_as_it_ends(
+def test_lost_connection_is_redialled_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(dialer, "RETRY_SECONDS", 0.05)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         port = free_port()
         writers: list[asyncio.StreamWriter] = []
         server = await asyncio.start_server(lambda _, w: writers.append(w), "127.0.0.1", port)
         handler = Handler()
-        # No round runs here either.
-        found = Dialer(handler, "own", 1.0, lambda _: True)
-        monkeypatch.setattr(handler, "connection_closed", found.lost)
-        found.want(0.0, f"127.0.0.1:{port}")
+        # `run` isn't called, so that only `redial` can dial.
+        dialing = Dialer(handler, "own", 1.0, lambda _: True)
+        monkeypatch.setattr(handler, "connection_closed", dialing.redial)
+        dialing.add(0.0, f"127.0.0.1:{port}")
         await asyncio.wait_for(handler.made.wait(), 10)
         await asyncio.sleep(0.1)
         handler.made.clear()
@@ -121,4 +121,4 @@
         await asyncio.wait_for(handler.made.wait(), 10)
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -1,4 +1,4 @@
-"""What an entry says to the other entries and to its targets about who lives."""
+"""Tests for the gossip between entries and the announcement of entries to targets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -45,26 +45,26 @@
 READY, GOOD, ROOM = RunnerState.READY, Health.GOOD, Resources(8000, 8000, 0)
 SILENT = RunnerSilent(LOST.loss, LOST.tasks, ["q"], [10])
 ROUND = 0.05
-BEAT_BYTES = 60
-"""Bytes that a round may bring another entry: two versions, and the frame around them."""
+MAX_ROUND_BYTES = 60
+"""Maximum size of a round's frame to one entry: two versions and a count."""
 
 
 class Owner:
-    """An entry that notes what its targets are told."""
+    """A `PeerOwner` that records its calls."""
 
     def __init__(self) -> None:
         self.catalog: Catalog = EMPTY
         self.evacuations = Evacuations()
-        self.told: list[EntryChanges] = []
-        self.targets: list[tuple[int, str]] = []
+        self.notified: list[EntryChanges] = []
+        self.target_counts: list[tuple[int, str]] = []
         self.losses = [LOST]
         self.speeds = Speeds()
-        self.told_kinds: list[tuple[SpeedNews, str]] = []
-        self.heard: list[tuple[LossNews, str]] = []
+        self.received_speeds: list[tuple[SpeedNews, str]] = []
+        self.received_losses: list[tuple[LossNews, str]] = []
         self.refused: list[Refusal] = []
         self.adopted: list[tuple[Catalog, str]] = []
-        self.asked: list[str] = []
-        self.handed_out: list[tuple[str, int]] = []
+        self.requested_from: list[str] = []
+        self.sent: list[tuple[str, int]] = []
 
     def refuse(self, refusal: Refusal) -> None:
         self.refused.append(refusal)
@@ -73,10 +73,10 @@
         self.adopted.append((catalog, source))
 
     def catalog_requested(self, peer: str) -> None:
-        self.asked.append(peer)
+        self.requested_from.append(peer)
 
     def catalog_sent(self, peer: str, packed_bytes: int) -> None:
-        self.handed_out.append((peer, packed_bytes))
+        self.sent.append((peer, packed_bytes))
 
     def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         pass
@@ -91,20 +91,20 @@
         return 43
 
     def receive_target_count(self, targets: int, source: str) -> None:
-        self.targets.append((targets, source))
+        self.target_counts.append((targets, source))
 
     def receive_loss(self, news: LossNews, source: str) -> None:
-        self.heard.append((news, source))
+        self.received_losses.append((news, source))
 
     def receive_speeds(self, news: SpeedNews, source: str) -> None:
-        self.told_kinds.append((news, source))
+        self.received_speeds.append((news, source))
 
     def notify_targets(self, changes: EntryChanges) -> None:
-        self.told.append(changes)
+        self.notified.append(changes)
 
 
 class Link:
-    """A connection that notes what it is given."""
+    """A connection that records the frames sent over it."""
 
     peer = ""
 
@@ -119,29 +119,29 @@
     return EntryAddress(f"frontend-civic-hall-{number}", f"10.1.0.{number}:7720", "0123456789ab")
 
 
-def play(
+def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
     links: list[Link],
-    scene: Callable[[EntryPeers, Owner], Awaitable[None]],
+    scenario: Callable[[EntryPeers, Owner], Awaitable[None]],
 ) -> None:
     async def run() -> None:
         owner = Owner()
         peers = EntryPeers(owner, OWN, Hello("e0", "life", True, "hall", OWN.address, 0, 0), 1.0)
         monkeypatch.setattr(peers._dialer, "links", lambda: links)
-        monkeypatch.setattr(peers._dialer, "want", lambda now, address: None)
-        await scene(peers, owner)
+        monkeypatch.setattr(peers._dialer, "add", lambda now, address: None)
+        await scenario(peers, owner)
 
     monkeypatch.setattr(entrypeers, "GOSSIP_SECONDS", ROUND)
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
 @pytest.mark.parametrize("entries", [10, 40])
-def test_a_round_costs_the_same_for_each_entry_however_many_there_are(
+def test_gossip_frame_size_is_independent_of_the_number_of_entries(
     monkeypatch: pytest.MonkeyPatch, entries: int
 ) -> None:
     links = [Link() for _ in range(entries)]
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         for number in range(entries):
             peers.record_entry(entry(number))
         for link in links:
@@ -151,131 +151,131 @@
         gossip.cancel()
         whole = [link for link in links if len(link.frames) == 2]
         assert len(whole) == 1
-        assert all(len(msgspec.msgpack.encode(link.frames[0])) < BEAT_BYTES for link in links)
+        assert all(len(msgspec.msgpack.encode(link.frames[0])) < MAX_ROUND_BYTES for link in links)
         assert whole[0].frames[1].bodies == [Entries(peers.live())]
 
-    play(monkeypatch, links, scene)
+    run_scenario(monkeypatch, links, scenario)
 
 
-def test_each_other_entry_gets_the_whole_list_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_entry_list_is_sent_to_each_entry_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     links = [Link() for _ in range(4)]
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(4.5 * ROUND)
         gossip.cancel()
 
-    play(monkeypatch, links, scene)
+    run_scenario(monkeypatch, links, scenario)
     lists = [[b for f in link.frames for b in f.bodies if isinstance(b, Entries)] for link in links]
     assert all(lists)
 
 
-def test_at_a_pressed_link_rounds_are_rarer_and_carry_no_list(
+def test_overloaded_link_slows_gossip_and_omits_the_entry_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     links = [Link() for _ in range(4)]
     monkeypatch.setattr(entrypeers, "SHED_GOSSIP_SECONDS", 4 * ROUND)
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         peers.sheds = True
         gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(3.5 * ROUND)
         gossip.cancel()
 
-    play(monkeypatch, links, scene)
+    run_scenario(monkeypatch, links, scenario)
     assert [len(link.frames) for link in links] == [1] * 4
     assert not any(isinstance(b, Entries) for link in links for b in link.frames[0].bodies)
 
 
-def test_a_round_tells_how_many_targets_an_entry_has(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_gossip_carries_the_target_count(monkeypatch: pytest.MonkeyPatch) -> None:
     link = Link()
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(ROUND / 2)
         gossip.cancel()
         link.peer = "e7"
         for frame in link.frames:
             peers.frame_received(cast("PeerLink", link), frame)
-        assert owner.targets == [(43, "e7")]
+        assert owner.target_counts == [(43, "e7")]
 
-    play(monkeypatch, [link], scene)
+    run_scenario(monkeypatch, [link], scenario)
 
 
-def test_another_entry_counts_as_heard_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+def test_any_seen_within_expires(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         assert not peers.any_seen_within(10.0)
         peers.record_entry(entry(1))
         assert peers.any_seen_within(10.0)
         await asyncio.sleep(0.05)
         assert not peers.any_seen_within(0.01)
 
-    play(monkeypatch, [Link()], scene)
+    run_scenario(monkeypatch, [Link()], scenario)
 
 
-def test_targets_are_told_changes_only_and_several_at_once(
+def test_targets_are_sent_changes_in_batches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         for number in (1, 2, 3):
             peers.record_entry(entry(number))
         await asyncio.sleep(3 * entrypeers.ANNOUNCE_DELAY_SECONDS)
-        assert owner.told == [EntryChanges([entry(1), entry(2), entry(3)], [])]
+        assert owner.notified == [EntryChanges([entry(1), entry(2), entry(3)], [])]
         assert peers.announced() == sorted([OWN, entry(1), entry(2), entry(3)])
         monkeypatch.setattr(entrypeers, "ENTRY_ALIVE_SECONDS", 0.0)
         gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(3 * ROUND)
         gossip.cancel()
         gone = EntryChanges([], [entry(number).name for number in (1, 2, 3)])
-        assert owner.told[1:] == [gone]
+        assert owner.notified[1:] == [gone]
 
-    play(monkeypatch, [], scene)
+    run_scenario(monkeypatch, [], scenario)
 
 
-def test_a_new_configuration_is_not_handed_whole_to_entries_that_have_not_asked(
+def test_configuration_is_not_sent_without_a_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     links = [Link() for _ in range(34)]
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         owner.catalog = Catalog(7, [], [])
         peers.announce_catalog(owner.catalog)
         for link in links:
-            # As its rounds of gossip say until the store has told it as well.
+            # The peer's gossip still carries the old version.
             peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [CatalogVersion(6)]))
         await asyncio.sleep(ROUND)
         bodies = [body for link in links for frame in link.frames for body in frame.bodies]
         assert not [body for body in bodies if isinstance(body, CatalogNews)]
         assert bodies.count(CatalogVersion(7)) == len(links)
 
-    play(monkeypatch, links, scene)
+    run_scenario(monkeypatch, links, scenario)
 
 
-def test_an_entry_that_asks_is_handed_the_configuration_once(
+def test_requested_configuration_is_sent_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     link = Link()
     link.peer = "e7"
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         owner.catalog = Catalog(7, [], [])
         peers.announce_catalog(owner.catalog)
         for _ in range(2):
-            question = Frame(1, 0, 0, 0, [CatalogVersion(6, wanted=True)])
-            peers.frame_received(cast("PeerLink", link), question)
+            request = Frame(1, 0, 0, 0, [CatalogVersion(6, wanted=True)])
+            peers.frame_received(cast("PeerLink", link), request)
         await asyncio.sleep(4 * entrypeers.MIN_SPREAD_INTERVAL_SECONDS)
         assert [unpack(body) for body in packed(link)] == [owner.catalog]
-        assert owner.handed_out == [("e7", len(pack(owner.catalog).content))]
+        assert owner.sent == [("e7", len(pack(owner.catalog).content))]
 
-    play(monkeypatch, [], scene)
+    run_scenario(monkeypatch, [], scenario)
 
 
-def test_an_entry_that_is_behind_asks_one_of_those_that_are_not(
+def test_outdated_entry_requests_the_configuration_from_one_newer_entry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     links = [Link() for _ in range(5)]
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         for number, link in enumerate(links):
             link.peer = f"e{number}"
             version = CatalogVersion(number)
@@ -284,25 +284,25 @@
         asked = [link.peer for link in links if link.frames]
         assert len(asked) == 1
         assert asked != ["e0"]
-        assert owner.asked == asked
+        assert owner.requested_from == asked
 
-    play(monkeypatch, links, scene)
+    run_scenario(monkeypatch, links, scenario)
 
 
-def test_a_configuration_that_another_entry_hands_on_is_adopted(
+def test_received_configuration_is_adopted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     link = Link()
     link.peer = "e7"
     catalog = Catalog(7, [], [])
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         for body in (pack(catalog), CatalogNews(catalog), PackedCatalog(8, b"odd")):
             peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [body]))
         assert owner.adopted == [(catalog, "e7")] * 2
         assert [refusal.word for refusal in owner.refused] == [Word.CONFIGURATION]
 
-    play(monkeypatch, [], scene)
+    run_scenario(monkeypatch, [], scenario)
 
 
 def packed(link: Link) -> list[PackedCatalog]:
@@ -311,49 +311,49 @@
 
 
 @pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
-def test_a_word_on_a_lost_runner_goes_to_all_other_entries(
+def test_runner_loss_is_broadcast_to_all_entries(
     monkeypatch: pytest.MonkeyPatch, news: LossNews
 ) -> None:
     links = [Link(), Link()]
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         peers.broadcast_loss(news)
         assert [link.frames[-1].bodies for link in links] == [[news], [news]]
 
-    play(monkeypatch, links, scene)
+    run_scenario(monkeypatch, links, scenario)
 
 
-def test_an_entry_that_is_met_is_told_of_the_runners_lost_before(
+def test_new_connection_is_sent_the_known_losses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     link = Link()
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         peers.connection_opened(link)  # type: ignore[arg-type]
         assert LOST in link.frames[-1].bodies
 
-    play(monkeypatch, [], scene)
+    run_scenario(monkeypatch, [], scenario)
 
 
 @pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
-def test_another_entrys_word_on_a_lost_runner_is_followed(
+def test_received_runner_loss_is_passed_to_the_owner(
     monkeypatch: pytest.MonkeyPatch, news: LossNews
 ) -> None:
     link = Link()
     link.peer = "e7"
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         peers.frame_received(link, Frame(1, 0, 0, 0, [news]))  # type: ignore[arg-type]
-        assert owner.heard == [(news, "e7")]
+        assert owner.received_losses == [(news, "e7")]
 
-    play(monkeypatch, [], scene)
+    run_scenario(monkeypatch, [], scenario)
 
 
 KINDS = SpeedNews([KindSpeed("svc", "b", 1700, 120)])
 
 
-def learned(speeds: Speeds) -> None:
-    """Let an entry learn that one kind is slower than another."""
+def record_speeds(speeds: Speeds) -> None:
+    """Record tasks that make one kind of host slower than another."""
     targets = []
     for number, kind in enumerate("ab"):
         record = TargetRecord(f"t{number}", "hall", "1")
@@ -365,43 +365,43 @@
         speeds.compare_tasks(0.4, [(targets[0], 0.28), (targets[1], 0.68)])
 
 
-def test_an_entry_that_is_met_hears_how_slow_kinds_of_hosts_are(
+def test_new_connection_is_sent_the_known_speeds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     link = Link()
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
-        learned(owner.speeds)
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
+        record_speeds(owner.speeds)
         peers.connection_opened(link)  # type: ignore[arg-type]
         assert owner.speeds.known() in link.frames[-1].bodies
 
-    play(monkeypatch, [], scene)
+    run_scenario(monkeypatch, [], scenario)
 
 
-def test_a_round_tells_of_kinds_of_hosts_only_what_has_changed(
+def test_gossip_carries_only_changed_speeds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     links = [Link()]
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
-        learned(owner.speeds)
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
+        record_speeds(owner.speeds)
         task = asyncio.create_task(peers.gossip_forever())
         await asyncio.sleep(4.5 * ROUND)
         task.cancel()
 
-    play(monkeypatch, links, scene)
-    told = [body for frame in links[0].frames for body in frame.bodies if type(body) is SpeedNews]
-    assert len(told) == 1
+    run_scenario(monkeypatch, links, scenario)
+    sent = [body for frame in links[0].frames for body in frame.bodies if type(body) is SpeedNews]
+    assert len(sent) == 1
 
 
-def test_another_entrys_word_on_kinds_of_hosts_is_followed(
+def test_received_speeds_are_passed_to_the_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     link = Link()
     link.peer = "e7"
 
-    async def scene(peers: EntryPeers, owner: Owner) -> None:
+    async def scenario(peers: EntryPeers, owner: Owner) -> None:
         peers.frame_received(link, Frame(1, 0, 0, 0, [KINDS]))  # type: ignore[arg-type]
-        assert owner.told_kinds == [(KINDS, "e7")]
+        assert owner.received_speeds == [(KINDS, "e7")]
 
-    play(monkeypatch, [], scene)
+    run_scenario(monkeypatch, [], scenario)
