--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -424,7 +424,7 @@
         )
 
     def _connections(self) -> list[MeteredConnection]:
-        return [*self._links.values(), *self._peers.links(), *self._callers.open]
+        return [*self._links.values(), *self._peers.links(), *self._callers.open_connections]
 
     def _turns_away(self, now: float) -> bool:
         return self._meter.pressure.turns_away(now) and self._has_alternative_entry()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
@@ -1,6 +1,6 @@
-"""An HTTP/1.1 client for one address: kept connections, time-outs, and nothing sent twice.
+"""An HTTP/1.1 client for one address, with a connection pool, time-outs and no retries.
 
-httptools reads HTTP. A call that fails says whether the request provably never left.
+httptools parses the responses. The class of an error tells whether the request may have been sent.
 """
 
 import asyncio
@@ -16,38 +16,38 @@
 from paddleshunt_node.aio.sockets import set_socket_options, split_address
 
 CONNECT_TIMEOUT = 0.4
-"""Seconds for a connection to be made; the first packet may be lost."""
+"""Seconds for a connection to be established."""
 
 MAX_RESPONSE_BYTES = 16 << 20
-"""Bytes of an answer."""
+"""Maximum size of a response body."""
 
 FIRST_FINAL_STATUS = 200
-"""Answers below it only announce others."""
+"""Lowest status of a final response; lower ones are interim."""
 
 
 class CallError(Exception):
-    """A call got no answer."""
+    """A call got no response."""
 
 
 @final
 class NotSentError(CallError):
-    """The request never left: no connection could be made."""
+    """The request was not sent, as no connection could be established."""
 
 
 @final
 class WithdrawnError(CallError):
-    """The request never left: it was not to be sent any more."""
+    """The request was not sent, as `may_send` returned False."""
 
 
 @final
 class NoResponseError(CallError):
-    """The request may have been carried out, or may be yet."""
+    """The request was sent without a valid response; it may have been processed, or may yet be."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -56,13 +56,13 @@
 
 @final
 class HttpClient:
-    """Calls one host:port. Each call has a connection to itself; idle ones are kept."""
+    """Client of one host:port. Each call uses a connection exclusively; idle ones are reused."""
 
     def __init__(self, address: str) -> None:
         self._host, self._port = split_address(address)
         self._address = address
         self._idle: list[_Connection] = []
-        self.connections = 0
+        self.connection_count = 0
 
     async def call(
         self,
@@ -73,15 +73,15 @@
         headers: tuple[tuple[str, str], ...] = (),
         may_send: Callable[[], bool] | None = None,
     ) -> HttpResponse:
-        """Send a request and return the answer; raises `CallError`.
+        """Send a request and return the response; raises `CallError`.
 
-        `may_send` is asked once a connection is there, with nothing awaited until the request is
-        written.
+        `may_send` is called once a connection is open; the request is written without awaiting
+        anything in between.
         """
         connection = await self._connection()
         if may_send is not None and not may_send():
             self._idle.append(connection)
-            raise WithdrawnError("not to be sent any more")
+            raise WithdrawnError("request withdrawn before it was sent")
         head = request_head(
             method,
             target,
@@ -94,23 +94,23 @@
         )
         began = clock.now()
         try:
-            answer = await connection.exchange(head, body, timeout)
+            response = await connection.exchange(head, body, timeout)
         except (TimeoutError, OSError) as error:
             connection.close()
             if isinstance(error, TimeoutError):
-                self._drop_unproven(began)
+                self._close_unproven(began)
             raise NoResponseError(str(error) or "timed out") from error
         except asyncio.CancelledError:
             connection.close()
             raise
         if connection.is_open:
             self._idle.append(connection)
-        return answer
+        return response
 
-    def _drop_unproven(self, since: float) -> None:
-        """Close idle connections without an answer `since`: they may be as silent as another."""
-        unproven = [connection for connection in self._idle if connection.answered < since]
-        self._idle = [connection for connection in self._idle if connection.answered >= since]
+    def _close_unproven(self, since: float) -> None:
+        """Close idle connections without a response since `since`, as they may be dead too."""
+        unproven = [connection for connection in self._idle if connection.last_response < since]
+        self._idle = [connection for connection in self._idle if connection.last_response >= since]
         for connection in unproven:
             connection.close()
 
@@ -127,23 +127,23 @@
                 )
         except (TimeoutError, OSError) as error:
             raise NotSentError(str(error) or "timed out") from error
-        self.connections += 1
+        self.connection_count += 1
         return connection
 
 
 @final
 class _Connection(SharedBufferProtocol):
-    """One connection; httptools calls the methods named `on_...`."""
+    """One pooled connection; httptools calls the `on_*` methods."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._waiting: asyncio.Future[HttpResponse] | None = None
+        self._pending: asyncio.Future[HttpResponse] | None = None
         self._headers: dict[str, str] = {}
         self._body = bytearray()
-        self.answered = clock.now()
-        """When it last brought an answer, or was made."""
+        self.last_response = clock.now()
+        """When the last response arrived, or the connection was made."""
 
     @property
     def is_open(self) -> bool:
@@ -156,23 +156,23 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._fail(ConnectionResetError("connection ended"))
+        self._fail(ConnectionResetError("connection closed"))
 
     def data_received(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._break_off(OSError(f"unreadable answer: {error}"))
+            self._abort(OSError(f"invalid HTTP response: {error}"))
 
     async def exchange(self, head: bytes, body: bytes, timeout: float) -> HttpResponse:
         if self._transport is None:
-            raise ConnectionResetError("connection ended")
-        self._waiting = self._loop.create_future()
+            raise ConnectionResetError("connection closed")
+        self._pending = self._loop.create_future()
         self._transport.write(head + body)
-        # asyncio.timeout would ask for the running loop, a system call, several times.
+        # Cheaper than asyncio.timeout, which looks up the running loop several times.
         timer = self._loop.call_later(timeout, self._fail, TimeoutError("timed out"))
         try:
-            return await self._waiting
+            return await self._pending
         finally:
             timer.cancel()
 
@@ -190,22 +190,22 @@
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > MAX_RESPONSE_BYTES:
-            self._break_off(OSError("answer too long"))
+            self._abort(OSError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes"))
 
     def on_message_complete(self) -> None:
-        self.answered = clock.now()
+        self.last_response = clock.now()
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             return
         if not self._parser.should_keep_alive() and self._transport is not None:
             self._transport.close()
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_result(HttpResponse(status, self._headers, bytes(self._body)))
+        if self._pending is not None and not self._pending.done():
+            self._pending.set_result(HttpResponse(status, self._headers, bytes(self._body)))
 
-    def _break_off(self, error: Exception) -> None:
+    def _abort(self, error: Exception) -> None:
         self._fail(error)
         self.close()
 
     def _fail(self, error: Exception) -> None:
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_exception(error)
+        if self._pending is not None and not self._pending.done():
+            self._pending.set_exception(error)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
@@ -1,6 +1,6 @@
-"""An HTTP/1.1 server that holds requests and notices callers that leave.
+"""An HTTP/1.1 server that supports deferred responses and detects clients that disconnect.
 
-httptools reads HTTP; a connection carries one request at a time.
+httptools parses the requests; each connection processes one request at a time.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 HEAD_TOO_LARGE = 431
 
 MAX_PIPELINED = 16
-"""Requests that may wait on one connection for the answer to an earlier one."""
+"""Requests that may be queued on one connection behind the one being processed."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     target: str
@@ -41,7 +41,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes = b""
@@ -52,7 +52,7 @@
 @final
 @dataclass(slots=True)
 class ServerLimits:
-    """Bounds on requests, which a new configuration may change: bytes, and seconds."""
+    """Limits on requests, in bytes and seconds; they may be changed while the server runs."""
 
     header_bytes: int = 16384
     body_bytes: int = 262144
@@ -61,18 +61,18 @@
 
 
 class Handler(Protocol):
-    """Answers requests, at once or later, with `Exchange.respond`."""
+    """Handles requests by calling `Exchange.respond`, at once or later."""
 
     def handle(self, exchange: "Exchange") -> None:
-        """Take a request."""
+        """Handle a request."""
 
     def abandoned(self, exchange: "Exchange") -> None:
-        """Take word that the caller left before it was answered."""
+        """Handle a client's disconnect before the response."""
 
 
 @final
 class Exchange:
-    """One request and the way to answer it."""
+    """A request together with the means to respond to it."""
 
     def __init__(self, connection: "_Connection", request: Request, number: int) -> None:
         self._connection = connection
@@ -80,20 +80,20 @@
         self.number = number
 
     def respond(self, response: Response) -> None:
-        """Answer; a caller that has left is not told."""
+        """Send the response; do nothing if the client has disconnected."""
         self._connection.respond(self, response)
 
 
 @final
 class HttpServer:
-    """Listens at one address. Set `closing` to end connections with their next answer."""
+    """Serves one address. Set `closing` to close each connection after its next response."""
 
     def __init__(self, handler: Handler, limits: ServerLimits | None = None) -> None:
         self.handler = handler
         self.limits = limits or ServerLimits()
         self.closing = False
-        self.numbers = 0
-        self.open: set[_Connection] = set()
+        self.request_count = 0
+        self.open_connections: set[_Connection] = set()
         self.loop: asyncio.AbstractEventLoop
         self._server: asyncio.Server | None = None
 
@@ -103,75 +103,75 @@
         self._server = await serve(lambda: _Connection(self), address)
 
     def stop_listening(self) -> None:
-        """Take no new connections; those that are open go on."""
+        """Accept no new connections; those that are open stay open."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> None:
-        """End the connections that carry no request now."""
-        for connection in list(self.open):
+        """Close the connections without a pending request."""
+        for connection in list(self.open_connections):
             connection.close_if_idle()
 
 
 @final
 class _Connection(SharedBufferProtocol):
-    """One connection; httptools calls the methods named `on_...`."""
+    """One client's connection; httptools calls the `on_*` methods."""
 
     def __init__(self, server: HttpServer) -> None:
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self.written = 0
-        """Bytes that were handed to it."""
+        """Bytes written so far."""
         self._target = b""
         self._headers: dict[str, str] = {}
         self._head_bytes = 0
-        self._unread_head = 0
+        self._unparsed_head_bytes = 0
         self._in_head = False
         self._body = bytearray()
-        self._reading = False
-        self._refused = 0
-        self._last = False
-        """Whether the connection ends with the answer that is due."""
+        self._in_message = False
+        self._error_status = 0
+        self._close_after_response = False
+        """Whether to close the connection after the current response."""
         self._exchange: Exchange | None = None
-        self._requests: deque[tuple[Request, bool]] = deque()
-        """Whole requests that were not handed on yet, and whether each is the connection's last."""
+        self._queued: deque[tuple[Request, bool]] = deque()
+        """Queued requests, each with whether the connection closes after it."""
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
         set_socket_options(transport, self._server.limits.idle_timeout)
-        self._server.open.add(self)
-        self._wait_for(self._server.limits.header_timeout)
+        self._server.open_connections.add(self)
+        self._start_timer(self._server.limits.header_timeout)
 
     def data_received(self, data: bytes) -> None:
-        if self._refused:
+        if self._error_status:
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._refused = self._refused or BAD_REQUEST
+            self._error_status = self._error_status or BAD_REQUEST
         if self._in_head:
-            self._unread_head += len(data)
-            self._check_head(self._unread_head)
-        if len(self._requests) > MAX_PIPELINED:
-            self._refused = self._refused or BAD_REQUEST
-        self._next()
+            self._unparsed_head_bytes += len(data)
+            self._check_head_size(self._unparsed_head_bytes)
+        if len(self._queued) > MAX_PIPELINED:
+            self._error_status = self._error_status or BAD_REQUEST
+        self._handle_next()
 
     def eof_received(self) -> bool:
         return False
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """Where it writes; None once it has ended."""
+        """The connection's transport; None once it has ended."""
         return self._transport
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._server.open.discard(self)
+        self._server.open_connections.discard(self)
         self._stop_timer()
-        self._requests.clear()
+        self._queued.clear()
         exchange = self._exchange
         if exchange is not None:
             self._exchange = None
@@ -182,14 +182,14 @@
             return
         self._exchange = None
         self._write(response, with_body=exchange.request.method != "HEAD")
-        if self._last or self._server.closing:
+        if self._close_after_response or self._server.closing:
             self._transport.close()
             return
-        self._wait_for(self._server.limits.idle_timeout)
-        self._next()
+        self._start_timer(self._server.limits.idle_timeout)
+        self._handle_next()
 
     def close_if_idle(self) -> None:
-        idle = self._exchange is None and not self._requests and not self._reading
+        idle = self._exchange is None and not self._queued and not self._in_message
         if idle and self._transport is not None:
             self._transport.close()
 
@@ -197,12 +197,12 @@
         self._target = b""
         self._headers = {}
         self._head_bytes = 0
-        self._unread_head = 0
+        self._unparsed_head_bytes = 0
         self._body.clear()
-        self._reading = True
+        self._in_message = True
         self._in_head = True
         if self._exchange is None:
-            self._wait_for(self._server.limits.header_timeout)
+            self._start_timer(self._server.limits.header_timeout)
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -211,7 +211,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
         self._head_bytes += len(name) + len(value)
-        self._check_head(self._head_bytes)
+        self._check_head_size(self._head_bytes)
 
     def on_headers_complete(self) -> None:
         self._in_head = False
@@ -219,11 +219,11 @@
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > self._server.limits.body_bytes:
-            self._refused = self._refused or BODY_TOO_LARGE
+            self._error_status = self._error_status or BODY_TOO_LARGE
 
     def on_message_complete(self) -> None:
-        self._reading = False
-        if self._refused:
+        self._in_message = False
+        if self._error_status:
             return
         request = Request(
             self._parser.get_method().decode("latin-1"),
@@ -231,25 +231,25 @@
             self._headers,
             bytes(self._body),
         )
-        self._requests.append((request, not self._parser.should_keep_alive()))
+        self._queued.append((request, not self._parser.should_keep_alive()))
 
-    def _check_head(self, size: int) -> None:
+    def _check_head_size(self, size: int) -> None:
         if size > self._server.limits.header_bytes:
-            self._refused = self._refused or HEAD_TOO_LARGE
+            self._error_status = self._error_status or HEAD_TOO_LARGE
 
-    def _next(self) -> None:
-        """Hand on the next whole request, or refuse what can't be read."""
+    def _handle_next(self) -> None:
+        """Handle the next queued request, or respond to an invalid one with its error."""
         if self._exchange is not None or self._transport is None:
             return
-        if self._requests:
+        if self._queued:
             self._stop_timer()
-            self._server.numbers += 1
-            request, self._last = self._requests.popleft()
-            exchange = self._exchange = Exchange(self, request, self._server.numbers)
+            self._server.request_count += 1
+            request, self._close_after_response = self._queued.popleft()
+            exchange = self._exchange = Exchange(self, request, self._server.request_count)
             self._server.handler.handle(exchange)
-        elif self._refused:
-            self._last = True
-            self._write(Response(self._refused), with_body=True)
+        elif self._error_status:
+            self._close_after_response = True
+            self._write(Response(self._error_status), with_body=True)
             self._transport.close()
 
     def _write(self, response: Response, *, with_body: bool) -> None:
@@ -257,14 +257,14 @@
         headers = [("Content-Length", str(len(response.body))), *response.headers]
         if response.content_type:
             headers.append(("Content-Type", response.content_type))
-        if self._server.closing or self._last:
+        if self._server.closing or self._close_after_response:
             headers.append(("Connection", "close"))
         head = response_head(response.status, headers)
-        answer = head + response.body if with_body else head
-        self.written += len(answer)
-        self._transport.write(answer)
+        message = head + response.body if with_body else head
+        self.written += len(message)
+        self._transport.write(message)
 
-    def _wait_for(self, seconds: float) -> None:
+    def _start_timer(self, seconds: float) -> None:
         self._stop_timer()
         self._timer = self._server.loop.call_later(seconds, self._timed_out)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
@@ -1,4 +1,4 @@
-"""What both processes share: signals, the metrics page, and an orderly end."""
+"""What entry and target processes share: tasks, log, metrics, signals and operator pages."""
 
 import asyncio
 import signal
@@ -24,7 +24,7 @@
         self._dump = dump
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer with a page."""
+        """Respond with the requested page."""
         if exchange.request.path == "/dump":
             body = msgspec.json.encode(self._dump())
             exchange.respond(Response(200, body, "application/json"))
@@ -32,12 +32,12 @@
         exchange.respond(Response(200, self._metrics.page(), "text/plain; version=0.0.4"))
 
     def abandoned(self, exchange: Exchange) -> None:
-        """Ignore a reader that left."""
+        """Ignore a disconnected client."""
 
 
 @final
 class ProcessContext:
-    """Tasks, log and signals of one process."""
+    """Tasks, log, metrics and signal handling of one process."""
 
     def __init__(self, log_writer: LogWriter, metrics: Metrics) -> None:
         self.log_writer = log_writer
@@ -49,14 +49,14 @@
         self._flushing = False
 
     def listen_to_signals(self, reload: Callable[[], None]) -> None:
-        """Stop at SIGTERM or SIGINT, read the settings again at SIGHUP."""
+        """Set `stopping` on SIGTERM or SIGINT, and call `reload` on SIGHUP."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         loop.add_signal_handler(signal.SIGINT, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, reload)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run `work` beside the rest; an error in it ends the process."""
+        """Run `work` as a task; an exception in it stops the process."""
         if self._loop is None:
             self._loop = asyncio.get_running_loop()
         task = self._loop.create_task(work)
@@ -64,28 +64,28 @@
         task.add_done_callback(self._finished)
 
     def log(self, log: Log) -> None:
-        """Write one event's line."""
+        """Log the event of a state machine."""
         self.log_writer.write(clock.now(), log)
-        self._flush_in_time()
+        self._schedule_flush()
 
     def event(self, name: str, /, **fields: str | int | float) -> None:
-        """Write one event's line."""
+        """Log an event with its fields."""
         self.log_writer.event(clock.now(), name, **fields)
-        self._flush_in_time()
+        self._schedule_flush()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Count a refused word, and write its line unless one like it was written lately."""
+        """Count a refused message, and log it unless a similar one was logged lately."""
         self.metrics.refused(refusal.word.value)
         for log in self._refusals.take(clock.now(), refusal):
             self.log(log)
 
     def cancel(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
 
-    def _flush_in_time(self) -> None:
-        """Write collected lines before long."""
+    def _schedule_flush(self) -> None:
+        """Schedule a flush of buffered lines, unless one is scheduled."""
         if self._flushing or not self.log_writer.has_pending:
             return
         if self._loop is None:
@@ -106,7 +106,7 @@
 
 
 async def serve_pages(pages: OperatorPages, address: str, context: ProcessContext) -> None:
-    """Serve the operators' pages at host:port; without them the process still does its work."""
+    """Serve the operators' pages at host:port; log a failure, and go on without them."""
     try:
         await HttpServer(pages).start(address)
     except OSError as problem:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -1,4 +1,4 @@
-"""What an entry does with the store: follows the operator's word, and announces its address."""
+"""An entry's use of the store: following the operator's updates and announcing its address."""
 
 import asyncio
 import contextlib
@@ -12,31 +12,31 @@
 from paddleshunt_node.aio.process import ProcessContext
 
 ANNOUNCE_SECONDS = 12.0
-"""Seconds for which the store keeps this entry's address."""
+"""Lifetime of this entry's address in the store, in seconds."""
 
 STORE_RETRY_SECONDS = 0.3
 """Seconds before the store is called again after a failure."""
 
 
 class Owner(Protocol):
-    """The entry that what was found is for."""
+    """The entry that the updates are passed to."""
 
     def adopt_catalog(self, catalog: Catalog, source: str) -> None:
-        """Take a configuration."""
+        """Adopt a configuration if it is newer."""
 
     def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
-        """Take the halls that are evacuated."""
+        """Apply a list of evacuated halls if it is newer."""
 
     def lacks_entries(self) -> bool:
-        """Whether other entries are looked for."""
+        """Whether no other entry is known."""
 
     def entry_discovered(self, entry: EntryAddress) -> None:
-        """Take another entry's address."""
+        """Dial another entry's address."""
 
 
 @final
 class StoreFollower:
-    """Calls the store for one entry; its loops end when they are cancelled."""
+    """Follows the store for one entry."""
 
     def __init__(
         self, store: StorePort, context: ProcessContext, entry: EntryAddress, owner: Owner
@@ -48,11 +48,11 @@
         self._regained = asyncio.Event()
 
     async def follow(self) -> None:
-        """Hand on each new configuration and evacuation until cancelled."""
+        """Pass each new configuration and evacuation to the owner until cancelled."""
         reachable = True
         while True:
             try:
-                word = await self._store.next_update()
+                update = await self._store.next_update()
             except StoreUnavailableError as problem:
                 if reachable:
                     self._context.event("store_lost", reason=str(problem))
@@ -63,16 +63,17 @@
                 self._context.event("store_regained")
                 self._regained.set()
             reachable = True
-            # Evacuations first: with a configuration the first job may be placed.
-            if word.evacuated is not None:
-                self._owner.apply_evacuations(word.evacuated, "store")
-            if word.catalog is not None:
-                self._owner.adopt_catalog(word.catalog, "store")
+            # Evacuations first: adopting a configuration may place held jobs.
+            if update.evacuated is not None:
+                self._owner.apply_evacuations(update.evacuated, "store")
+            if update.catalog is not None:
+                self._owner.adopt_catalog(update.catalog, "store")
 
     async def announce(self) -> None:
-        """Keep this entry's address in the store; look for others there if none was met.
+        """Keep this entry's address in the store until cancelled.
 
-        A store that was away may have let the address lapse, so it is told again at its return.
+        If no other entry is known, read their addresses too. The address is written again when the
+        store becomes reachable, as it may have expired.
         """
         while True:
             self._regained.clear()
@@ -84,14 +85,14 @@
             except StoreUnavailableError:
                 await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
-            await self._until_due()
+            await self._wait_for_next_announcement()
 
-    async def _until_due(self) -> None:
+    async def _wait_for_next_announcement(self) -> None:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._regained.wait(), ANNOUNCE_SECONDS / 3)
 
     async def withdraw(self) -> None:
-        """Take this entry's address out of the store."""
+        """Remove this entry's address from the store."""
         try:
             await self._store.withdraw()
         except StoreUnavailableError as problem:
--- a/testing/node/aio/test_storefollower.py
+++ b/testing/node/aio/test_storefollower.py
@@ -1,4 +1,4 @@
-"""An entry's address in the store, and the configuration from it."""
+"""Tests for `StoreFollower`."""
 
 import asyncio
 import time
@@ -13,23 +13,23 @@
 from paddleshunt_node.aio.storefollower import StoreFollower
 
 ENTRY = EntryAddress("e1", "10.0.0.1:7720")
-BACK_SECONDS = 2.0
-"""Seconds after the store's return in which a lapsed address must be back."""
+MAX_ANNOUNCE_DELAY = 2.0
+"""Seconds after the store's recovery within which an address must be announced again."""
 
 
 class Store:
-    """A store that can be down, and that forgets addresses meanwhile."""
+    """A store that can be made unavailable."""
 
     def __init__(self) -> None:
         self.up = True
         self.announced: list[float] = []
-        self.word = OperatorUpdate()
+        self.update = OperatorUpdate()
 
     async def next_update(self) -> OperatorUpdate:
         await asyncio.sleep(0.05)
         if not self.up:
             raise StoreUnavailableError("down")
-        return self.word
+        return self.update
 
     async def announce(self, entry: EntryAddress, seconds: float) -> None:
         if not self.up:
@@ -47,14 +47,14 @@
     catalog = EMPTY
 
     def __init__(self) -> None:
-        self.took: list[str] = []
+        self.calls: list[str] = []
 
     def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.catalog = catalog
-        self.took.append("catalog")
+        self.calls.append("catalog")
 
     def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
-        self.took.append("evacuated")
+        self.calls.append("evacuated")
 
     def lacks_entries(self) -> bool:
         return False
@@ -63,8 +63,8 @@
         pass
 
 
-def test_an_address_that_may_have_lapsed_is_told_again_at_the_stores_return() -> None:
-    async def scene() -> None:
+def test_address_is_announced_again_when_the_store_recovers() -> None:
+    async def scenario() -> None:
         store = Store()
         context = ProcessContext(LogWriter("error"), Metrics())
         follower = StoreFollower(store, context, ENTRY, Owner())
@@ -77,11 +77,11 @@
         store.up = False
         await asyncio.sleep(0.5)
         store.up = True
-        back = time.monotonic()
+        recovered_at = time.monotonic()
         while len(store.announced) < 2:
             await asyncio.sleep(0.01)
-        assert time.monotonic() - back < BACK_SECONDS
+        assert time.monotonic() - recovered_at < MAX_ANNOUNCE_DELAY
         for task in tasks:
             task.cancel()
 
-    asyncio.run(asyncio.wait_for(scene(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
