--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -1,7 +1,7 @@
-"""Samples what the connections of a process hold unsent, for its `LinkPressure`.
+"""Samples the unsent bytes of a process's connections for its `LinkPressure`.
 
-What asyncio holds is read each time. What the kernel holds costs a system call a connection, so it
-is asked for only while there is a suspicion, and of a few connections at a time.
+asyncio's write buffers are read in each sample. The kernel's send buffers cost a system call per
+connection, so they are read only when pressure is suspected, and of some connections at a time.
 """
 
 import asyncio
@@ -17,21 +17,24 @@
 from paddleshunt_node.aio.process import ProcessContext
 
 SAMPLE_SECONDS = 0.2
-"""Seconds between two samples: a session bears 0.4 s of silence, and a sample costs up to 1 ms."""
+"""Seconds between two samples."""
 
 KERNEL_SAMPLE_CONNECTIONS = 64
-"""Connections that the kernel is asked about in one sample; what they hold stands for the rest."""
+"""Connections whose kernel buffers are read per sample; the others' are extrapolated."""
 
-_COUNT = struct.Struct("i")
+_INT = struct.Struct("i")
 
-_UNSENT: int | None = getattr(termios, "TIOCOUTQ", None)
-"""The question to the kernel; None on systems that don't have it."""
+_UNSENT_REQUEST: int | None = getattr(termios, "TIOCOUTQ", None)
+"""The ioctl request for unsent bytes; None on systems without it."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Kernel:
-    """What the kernel holds beside asyncio: bytes in all, the largest holder's with asyncio's, and
-    the connections of which it alone holds some."""
+class _KernelBuffers:
+    """Estimate of the kernel's send buffers.
+
+    `unsent` are bytes in all; `largest` is one connection's bytes, asyncio's included; `holding`
+    counts connections with bytes in the kernel and none in asyncio.
+    """
 
     unsent: int = 0
     largest: int = 0
@@ -39,23 +42,23 @@
 
 
 class MeteredConnection(Protocol):
-    """A connection whose sends are watched."""
+    """A connection whose unsent bytes are sampled."""
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """Where it writes; None once it has ended."""
+        """The connection's transport; None once it has ended."""
 
     @property
     def written(self) -> int:
-        """Bytes that were handed to it."""
+        """Bytes written so far."""
 
 
 @final
 class LinkMeter:
-    """Watches the connections of one process.
+    """Samples the connections of one process.
 
-    `connections` are those that stand; `echo` is told as in `LinkSample`, and is at most
-    `usual_echo` while nothing waits.
+    `connections` returns the open ones; `echo` returns the echo age of `LinkSample`, which is at
+    most `usual_echo` on a free link.
     """
 
     def __init__(
@@ -70,15 +73,15 @@
         self._connections = connections
         self._echo = echo
         self._written: dict[MeteredConnection, int] = {}
-        """Bytes that were handed to each connection until the last sample."""
-        self._total = 0
+        """Bytes written to each connection by the last sample."""
+        self._total_written = 0
         self._due = 0.0
-        self._turn = 0
-        self._kernel_tells = True
-        """Whether the kernel can be asked; on some systems it can't."""
+        self._samples_taken = 0
+        self._kernel_supported = True
+        """Whether the system reports the kernel's send buffers."""
 
     def sample_when_due(self, now: float) -> None:
-        """Take a sample if the last one is old enough."""
+        """Take a sample if `SAMPLE_SECONDS` have passed since the last one."""
         if now >= self._due:
             self._due = now + SAMPLE_SECONDS
             self.sample(now)
@@ -98,85 +101,92 @@
         )
 
     def describe(self) -> dict[str, object]:
-        """Return a summary for a dump."""
+        """Return a summary for the dump page."""
         pressure = self.pressure
         return {"level": pressure.level.name.lower(), "wait_ms": round(pressure.wait * 1000)}
 
     def sample(self, now: float) -> None:
-        """Take a sample, and log what follows from it."""
+        """Take a sample, and log changes of the pressure level."""
         echo = self._echo()
-        held = self._held()
-        thorough = any(held.values()) or self.pressure.is_suspicious(echo)
-        kernel = self._ask_kernel(held) if thorough and self._kernel_tells else _Kernel()
-        largest = max(held.values(), default=0)
+        buffered = self._buffered_bytes()
+        thorough = any(buffered.values()) or self.pressure.is_suspicious(echo)
+        kernel = (
+            self._sample_kernel(buffered)
+            if thorough and self._kernel_supported
+            else _KernelBuffers()
+        )
+        largest = max(buffered.values(), default=0)
         sample = LinkSample(
-            unsent=sum(held.values()) + kernel.unsent,
+            unsent=sum(buffered.values()) + kernel.unsent,
             largest=max(largest, kernel.largest),
-            written=self._total,
-            holding=sum(count > 0 for count in held.values()) + kernel.holding,
-            active=len(held),
+            written=self._total_written,
+            holding=sum(count > 0 for count in buffered.values()) + kernel.holding,
+            active=len(buffered),
             echo=echo,
         )
         for log in self.pressure.sampled(now, sample):
             self._context.log(log)
             self._context.metrics.event(log.event)
 
-    def _held(self) -> dict[MeteredConnection, int]:
-        """Return the bytes that asyncio holds, of the connections in use."""
-        held: dict[MeteredConnection, int] = {}
+    def _buffered_bytes(self) -> dict[MeteredConnection, int]:
+        """Return the bytes in asyncio's write buffers, for each connection in use."""
+        buffered: dict[MeteredConnection, int] = {}
         before, self._written = self._written, {}
         for connection in self._connections():
             transport = connection.transport
             if transport is None:
                 continue
-            news = connection.written - before.get(connection, 0)
+            written = connection.written - before.get(connection, 0)
             self._written[connection] = connection.written
-            self._total += news
+            self._total_written += written
             count = transport.get_write_buffer_size()
-            if count or news:
-                held[connection] = count
-        return held
+            if count or written:
+                buffered[connection] = count
+        return buffered
 
-    def _ask_kernel(self, held: dict[MeteredConnection, int]) -> "_Kernel":
-        """Return what the kernel holds, by some of the connections; others' turn is next.
+    def _sample_kernel(self, buffered: dict[MeteredConnection, int]) -> "_KernelBuffers":
+        """Return an estimate of the kernel's send buffers, from a rotating part of the connections.
 
-        What asyncio holds bytes of is few, and not like the others: each kind stands for itself.
+        Connections with bytes in asyncio's buffers are extrapolated apart from the others, as they
+        are few and hold more.
         """
-        holders = [connection for connection, count in held.items() if count]
-        others = [connection for connection, count in held.items() if not count]
-        self._turn += 1
-        asked = self._some(
+        holders = [connection for connection, count in buffered.items() if count]
+        others = [connection for connection, count in buffered.items() if not count]
+        self._samples_taken += 1
+        sampled = self._rotate(
             holders, min(KERNEL_SAMPLE_CONNECTIONS - KERNEL_SAMPLE_CONNECTIONS // 2, len(holders))
         )
-        quiet = self._some(others, KERNEL_SAMPLE_CONNECTIONS - len(asked))
-        whole = {connection: self._kernel_bytes(connection) for connection in (*asked, *quiet)}
-        share = len(holders) / max(1, len(asked))
-        quiet_share = len(others) / max(1, len(quiet))
-        unsent = share * sum(map(whole.__getitem__, asked))
-        unsent += quiet_share * sum(map(whole.__getitem__, quiet))
-        return _Kernel(
+        idle = self._rotate(others, KERNEL_SAMPLE_CONNECTIONS - len(sampled))
+        kernel_bytes = {
+            connection: self._kernel_bytes(connection) for connection in (*sampled, *idle)
+        }
+        holder_factor = len(holders) / max(1, len(sampled))
+        idle_factor = len(others) / max(1, len(idle))
+        unsent = holder_factor * sum(map(kernel_bytes.__getitem__, sampled))
+        unsent += idle_factor * sum(map(kernel_bytes.__getitem__, idle))
+        return _KernelBuffers(
             round(unsent),
-            max((held[one] + count for one, count in whole.items()), default=0),
-            round(quiet_share * sum(whole[one] > 0 for one in quiet)),
+            max((buffered[one] + count for one, count in kernel_bytes.items()), default=0),
+            round(idle_factor * sum(kernel_bytes[one] > 0 for one in idle)),
         )
 
-    def _some(self, connections: list[MeteredConnection], count: int) -> list[MeteredConnection]:
-        """Return so many of them, beginning elsewhere each turn."""
-        first = self._turn * count % max(1, len(connections))
+    def _rotate(self, connections: list[MeteredConnection], count: int) -> list[MeteredConnection]:
+        """Return `count` of the connections, from another position in each sample."""
+        first = self._samples_taken * count % max(1, len(connections))
         return (connections[first:] + connections[:first])[:count]
 
     def _kernel_bytes(self, connection: MeteredConnection) -> int:
         transport = connection.transport
         sock = transport.get_extra_info("socket") if transport else None
-        if sock is None or not self._kernel_tells or sock.fileno() < 0:
+        if sock is None or not self._kernel_supported or sock.fileno() < 0:
             return 0
         try:
-            if _UNSENT is None:
-                raise OSError("no TIOCOUTQ")
-            answer = fcntl.ioctl(sock.fileno(), _UNSENT, bytes(_COUNT.size))
+            if _UNSENT_REQUEST is None:
+                raise OSError("TIOCOUTQ is not supported")
+            answer = fcntl.ioctl(sock.fileno(), _UNSENT_REQUEST, bytes(_INT.size))
         except OSError as problem:
-            self._kernel_tells = False
+            self._kernel_supported = False
             self._context.event("kernel_bytes_unknown", problem=str(problem))
             return 0
-        count: int = _COUNT.unpack(answer)[0]
+        count: int = _INT.unpack(answer)[0]
         return count
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/logwriter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/logwriter.py
@@ -1,7 +1,7 @@
-"""Structured lines on standard output: bounded, and never in the way of a decision.
+"""Structured log lines on standard output, rate-limited and written without blocking.
 
-Each kind of event has a budget a second; what exceeds it is counted and told in a line of its own.
-A full pipe drops the line and counts it.
+Each kind of event has a budget of lines a second; lines beyond it are counted in a
+`lines_left_out` line, and lines that a full pipe doesn't accept in a `lines_dropped` line.
 """
 
 import logging
@@ -15,11 +15,11 @@
 
 from paddleshunt_node.logs import KeyValueFormatter
 
-LINES_A_SECOND = 200
-"""Lines of one kind of event that are written in a second."""
+MAX_LINES_PER_SECOND = 200
+"""Budget of lines of one kind of event."""
 
-FAILED_LINES_A_SECOND = 800
-"""The same for events that decide or explain a failed request."""
+MAX_FAILURE_LINES_PER_SECOND = 800
+"""Budget of lines of one kind in `FAILURE_EVENTS`."""
 
 FAILURE_EVENTS = frozenset(
     {
@@ -35,48 +35,48 @@
         "stood_still",
     }
 )
-"""Events without which a failed request can't be explained."""
+"""Events needed to explain a failed request."""
 
-COLLECT_SECONDS = 0.1
-"""Longest time for which lines are collected: what a killed process did last is not told."""
+FLUSH_SECONDS = 0.1
+"""Maximum seconds for which lines are buffered; a killed process loses them."""
 
-COLLECTED_BYTES = 4096
-"""Bytes of collected lines that are written at once: a pipe takes so many whole or not at all."""
+MAX_BLOCK_BYTES = 4096
+"""Maximum size of a write; writes to a pipe are atomic up to PIPE_BUF, 4096 bytes on Linux."""
 
 _LOGGER = "paddleshunt.leased"
 
 
 @final
 class _StandardOutput(logging.Handler):
-    """Writes whole lines to a descriptor that may be full."""
+    """Writes lines to standard output without blocking, and counts those that are dropped."""
 
     def __init__(self) -> None:
         super().__init__()
         self._descriptor = sys.stdout.fileno()
         os.set_blocking(self._descriptor, False)
-        self._collected: list[bytes] = []
-        self._bytes = 0
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
         self.dropped = 0
 
     @property
     def has_pending(self) -> bool:
-        """Whether lines wait to be written."""
-        return bool(self._collected)
+        """Whether lines are buffered."""
+        return bool(self._buffered)
 
     def emit(self, record: logging.LogRecord) -> None:
         line = self.format(record).encode() + b"\n"
-        if self._bytes + len(line) > COLLECTED_BYTES:
-            self.flush()
-        self._collected.append(line)
-        self._bytes += len(line)
-
-    def flush(self) -> None:
-        """Write what was collected."""
-        if not self._collected:
+        if self._buffered_bytes + len(line) > MAX_BLOCK_BYTES:
+            self.write_buffered()
+        self._buffered.append(line)
+        self._buffered_bytes += len(line)
+
+    def write_buffered(self) -> None:
+        """Write the buffered lines."""
+        if not self._buffered:
             return
-        lines = self._collected
-        self._collected = []
-        self._bytes = 0
+        lines = self._buffered
+        self._buffered = []
+        self._buffered_bytes = 0
         block = b"".join(lines)
         try:
             written = os.write(self._descriptor, block)
@@ -89,11 +89,11 @@
 
 @final
 class LogWriter:
-    """Writes the events of one process.
+    """Writes the events of one process as log lines.
 
-    With `collect`, lines are written in blocks: what explains a failed request at once, the others
-    when `flush` is called or a block is full. Whoever collects calls `flush` within
-    `COLLECT_SECONDS` while `holds` says that lines wait.
+    With `collect`, lines are buffered until a block is full, an event of `FAILURE_EVENTS` is
+    written or `flush` is called. The caller then calls `flush` within `FLUSH_SECONDS` while
+    `has_pending` is true.
     """
 
     def __init__(self, level: str = "info", *, collect: bool = False) -> None:
@@ -107,7 +107,7 @@
         formatter.default_msec_format = "%s.%03d"
         formatter.converter = time.gmtime
         self._handler.setFormatter(formatter)
-        # Not one that is known by its name: each process of a test has its own.
+        # Not from logging.getLogger, as several processes of a test run in one interpreter.
         self._logger = logging.Logger(_LOGGER, level.upper())
         self._logger.addHandler(self._handler)
         self._second = 0
@@ -116,20 +116,20 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that a full pipe did not take, since the last line that said so."""
+        """Lines dropped by a full pipe since the last `lines_dropped` line."""
         return self._handler.dropped
 
     @property
     def has_pending(self) -> bool:
-        """Whether lines wait to be written."""
+        """Whether lines are buffered."""
         return self._handler.has_pending
 
     def flush(self) -> None:
-        """Write what was collected."""
-        self._handler.flush()
+        """Write the buffered lines."""
+        self._handler.write_buffered()
 
     def write(self, now: float, log: Log) -> None:
-        """Write the line of one event, if its kind's budget allows."""
+        """Write the line of a state machine's event, if its kind's budget allows."""
         if log.submission:
             self.event(now, log.event, job=log.submission, **log.fields)
         else:
@@ -141,17 +141,19 @@
         if int(now) != self._second:
             self._next_second(int(now))
         self._written[name] += 1
-        explains = name in FAILURE_EVENTS
-        budget = FAILED_LINES_A_SECOND if explains else LINES_A_SECOND
+        is_failure = name in FAILURE_EVENTS
+        budget = MAX_FAILURE_LINES_PER_SECOND if is_failure else MAX_LINES_PER_SECOND
         if self._written[name] <= budget:
             self._write_line(name, fields)
-        if explains or not self._collect:
+        if is_failure or not self._collect:
             self.flush()
 
     def _next_second(self, second: int) -> None:
         self._second = second
         for name, count in self._written.items():
-            budget = FAILED_LINES_A_SECOND if name in FAILURE_EVENTS else LINES_A_SECOND
+            budget = (
+                MAX_FAILURE_LINES_PER_SECOND if name in FAILURE_EVENTS else MAX_LINES_PER_SECOND
+            )
             if count > budget:
                 self._write_line("lines_left_out", {"kind": name, "lines": count - budget})
         self._written.clear()
@@ -164,9 +166,9 @@
 
 
 def _skip_caller_lookup() -> None:
-    """Let `logging` look up neither process, thread nor place in the code, as no line tells them.
+    """Keep `logging` from looking up process, thread and source location, which no line contains.
 
-    The process's number alone is a system call a line.
+    The process id alone would cost a system call per line.
     """
     logging.logProcesses = False
     logging.logThreads = False
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/process.py
@@ -11,7 +11,7 @@
 
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.httpserver import Exchange, HttpServer, Response
-from paddleshunt_node.aio.logwriter import COLLECT_SECONDS, LogWriter
+from paddleshunt_node.aio.logwriter import FLUSH_SECONDS, LogWriter
 from paddleshunt_node.aio.metrics import Metrics
 
 
@@ -92,7 +92,7 @@
             self.log_writer.flush()
             return
         self._flushing = True
-        self._loop.call_later(COLLECT_SECONDS, self._flush)
+        self._loop.call_later(FLUSH_SECONDS, self._flush)
 
     def _flush(self) -> None:
         self._flushing = False
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -1,4 +1,4 @@
-"""What real connections hold unsent, and what an entry does while its link is pressed."""
+"""Tests for `LinkMeter` on real connections, and for an entry whose link is overloaded."""
 
 import asyncio
 import fcntl
@@ -28,11 +28,11 @@
 from paddleshunt_platform.standins.ports import free_port
 
 BUFFER = 4096
-"""Bytes of the kernel's buffers in these tests, so that little fills them."""
+"""Size of the kernel's socket buffers in bytes; small, so that they fill soon."""
 
 
 class Connection:
-    """A watched connection to a peer of this test."""
+    """A `MeteredConnection` to a peer of this test."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -50,7 +50,7 @@
 
 
 class Recorder:
-    """Notes the samples that a meter takes."""
+    """A `LinkPressure` that records its samples."""
 
     def __init__(self, *, suspicious: bool = False) -> None:
         self.level = PressureLevel.NORMAL
@@ -66,8 +66,10 @@
         return []
 
 
-def play(peers: int, scene: Callable[[list[Connection]], Awaitable[None]]) -> None:
-    """Connect to so many peers that read nothing."""
+def run_with_connections(
+    peers: int, scenario: Callable[[list[Connection]], Awaitable[None]]
+) -> None:
+    """Run a scenario with connections to `peers` peers that never read."""
 
     async def run() -> None:
         listener = socket.socket()
@@ -83,7 +85,7 @@
             accepted.append(listener.accept()[0])
             _, writer = await asyncio.open_connection(sock=sock)
             connections.append(Connection(writer))
-        await scene(connections)
+        await scenario(connections)
         for connection in connections:
             assert connection.transport is not None
             connection.transport.abort()
@@ -98,8 +100,8 @@
     return LinkMeter(context, lambda: connections, lambda: echo)
 
 
-def test_a_peer_that_does_not_read_is_no_pressure_and_several_are() -> None:
-    async def scene(connections: list[Connection]) -> None:
+def test_one_peer_that_does_not_read_is_no_pressure_but_several_are() -> None:
+    async def scenario(connections: list[Connection]) -> None:
         alone = meter(connections[:1])
         several = meter(connections)
         connections[0].write(1_000_000)
@@ -113,7 +115,7 @@
         assert several.pressure.level is PressureLevel.PRESSED
         assert several.describe()["level"] == "pressed"
 
-    play(6, scene)
+    run_with_connections(6, scenario)
 
 
 def sampled(
@@ -125,14 +127,16 @@
 ) -> Recorder:
     recorder = Recorder(suspicious=suspicious)
     monkeypatch.setattr(linkmeter, "LinkPressure", lambda _: recorder)
-    watched = meter(connections)
+    link_meter = meter(connections)
     for n in range(samples):
-        watched.sample(float(n))
+        link_meter.sample(float(n))
     return recorder
 
 
-@pytest.mark.parametrize(("suspicious", "holding"), [(True, 1), (False, 0)], ids=["asks", "calm"])
-def test_what_the_kernel_holds_is_asked_for_only_on_suspicion(
+@pytest.mark.parametrize(
+    ("suspicious", "holding"), [(True, 1), (False, 0)], ids=["suspicious", "normal"]
+)
+def test_kernel_buffers_are_read_only_on_suspicion(
     monkeypatch: pytest.MonkeyPatch, *, suspicious: bool, holding: int
 ) -> None:
     calls: list[int] = []
@@ -142,7 +146,7 @@
         calls.append(fd)
         return real(fd, request, argument)
 
-    async def scene(connections: list[Connection]) -> None:
+    async def scenario(connections: list[Connection]) -> None:
         # The first fills the peer's buffer, so that the second stays in this host's kernel.
         for size in (2 * BUFFER, 500):
             connections[0].write(size)
@@ -155,17 +159,17 @@
         assert found.samples[0].holding == holding
         assert len(calls) == holding
 
-    play(1, scene)
+    run_with_connections(1, scenario)
 
 
-def test_a_kernel_that_cannot_tell_is_asked_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_ioctl_is_not_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
     calls: list[int] = []
 
     def failing(fd: int, request: int, argument: bytes) -> bytes:
         calls.append(fd)
         raise OSError(25, "Inappropriate ioctl for device")
 
-    async def scene(connections: list[Connection]) -> None:
+    async def scenario(connections: list[Connection]) -> None:
         monkeypatch.setattr(linkmeter.fcntl, "ioctl", failing)
         for connection in connections:
             connection.write(1_000_000)
@@ -174,32 +178,32 @@
         assert [sample.holding for sample in recorder.samples] == [3, 3, 3]
         assert min(sample.unsent for sample in recorder.samples) > 2_000_000
 
-    play(3, scene)
+    run_with_connections(3, scenario)
 
 
-def test_the_kernel_is_asked_about_a_few_of_many_connections(
+def test_kernel_buffers_of_many_connections_are_extrapolated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    asked: list[int] = []
+    read: list[int] = []
 
-    def telling(fd: int, request: int, argument: bytes) -> bytes:
-        asked.append(fd)
+    def fake_ioctl(fd: int, request: int, argument: bytes) -> bytes:
+        read.append(fd)
         return (100).to_bytes(4, "little")
 
-    async def scene(connections: list[Connection]) -> None:
-        monkeypatch.setattr(linkmeter.fcntl, "ioctl", telling)
+    async def scenario(connections: list[Connection]) -> None:
+        monkeypatch.setattr(linkmeter.fcntl, "ioctl", fake_ioctl)
         for connection in connections:
             connection.written += 10
         recorder = sampled(monkeypatch, connections, suspicious=True)
-        assert len(asked) == KERNEL_SAMPLE_CONNECTIONS
+        assert len(read) == KERNEL_SAMPLE_CONNECTIONS
         (sample,) = recorder.samples
         assert (sample.unsent, sample.holding, sample.active) == (20_000, 200, 200)
 
-    play(200, scene)
+    run_with_connections(200, scenario)
 
 
-class Dead:
-    """A connection of which asyncio holds bytes, or none, and the kernel none."""
+class FakeConnection:
+    """A connection with unsent bytes in asyncio's buffer only."""
 
     def __init__(self, unsent: int) -> None:
         self.written = 10
@@ -216,25 +220,23 @@
 
 
 @pytest.mark.parametrize("dead", [1, 33, 64, 200])
-def test_dead_peers_do_not_stand_for_the_others(monkeypatch: pytest.MonkeyPatch, dead: int) -> None:
+def test_dead_peers_are_not_extrapolated(monkeypatch: pytest.MonkeyPatch, dead: int) -> None:
     recorder = Recorder()
     monkeypatch.setattr(linkmeter, "LinkPressure", lambda _: recorder)
-    connections = [Dead(1000 if n < dead else 0) for n in range(640)]
+    connections = [FakeConnection(1000 if n < dead else 0) for n in range(640)]
     context = ProcessContext(LogWriter("error"), Metrics())
-    watched = LinkMeter(context, lambda: connections, lambda: None)
-    watched.sample(1.0)
+    link_meter = LinkMeter(context, lambda: connections, lambda: None)
+    link_meter.sample(1.0)
     (sample,) = recorder.samples
     assert (sample.holding, sample.unsent, sample.active) == (dead, 1000 * dead, 640)
     assert sample.largest == 1000
 
 
-# An entry at a pressed link.
-
 CATALOG = Catalog(3, [Queue("q", "host", "/q/", "svc")], [])
 
 
 class Store:
-    """A store with one configuration."""
+    """A store with a fixed configuration."""
 
     async def next_update(self) -> OperatorUpdate:
         await asyncio.sleep(0.05)
@@ -251,7 +253,7 @@
 
 
 class Codec:
-    """Takes any request for a job, and tells outcomes by their reason."""
+    """Reads any request as a job, and writes the reason of a refusal as the body."""
 
     def read(self, request: Request, catalog: Catalog) -> Submission | Response:
         job = JobRequest(request.path, "spec", 1, Resources(1000, 10), 0.4, 3.0)
@@ -264,13 +266,13 @@
 
 
 async def until_true(condition: Callable[[], bool]) -> None:
-    """Wait for it; the bound of the whole test is what a busy machine may take."""
+    """Wait until `condition` holds; the scenario's time-out limits the wait."""
     while not condition():
         await asyncio.sleep(0.02)
 
 
 class Pressure:
-    """A level that a test sets, in place of one that is measured."""
+    """A `LinkPressure` whose level is set by the test."""
 
     def __init__(self) -> None:
         self.level = PressureLevel.NORMAL
@@ -287,7 +289,7 @@
 
 
 class Entry:
-    """An entry that runs in this test, with clients of its addresses."""
+    """An entry that runs in the test's event loop, with HTTP clients of its addresses."""
 
     def __init__(self, name: str, seeds: tuple[str, ...]) -> None:
         ports = [free_port() for _ in range(4)]
@@ -302,12 +304,12 @@
         self._ready = HttpClient(ready)
 
     def knows(self, entries: int) -> bool:
-        """Whether it has its configuration, and hears so many entries, itself included."""
+        """Whether it has adopted the configuration and sees `entries` live ones, with itself."""
         return self.service.catalog == CATALOG and len(self.service._peers.live()) == entries
 
     @property
     def turns_away(self) -> bool:
-        """Whether it has followed a level at which it takes no jobs."""
+        """Whether it refuses new jobs."""
         return self.service._dispatcher.turned_away is not None
 
     async def ready(self) -> int:
@@ -320,8 +322,8 @@
         answer = await self._callers.call("POST", key, 3.0)
         return answer.status, answer.body
 
-    async def raw_answer(self) -> bytes:
-        """Return the head of the answer to a job."""
+    async def response_head(self) -> bytes:
+        """Return the head of the response to a job."""
         host, _, port = self.callers.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST /q/9 HTTP/1.1\r\nHost: host\r\nContent-Length: 0\r\n\r\n")
@@ -334,12 +336,12 @@
         self.task.cancel()
 
 
-def with_entries(
+def run_with_entries(
     monkeypatch: pytest.MonkeyPatch,
     count: int,
-    scene: Callable[[Entry, Pressure], Awaitable[None]],
+    scenario: Callable[[Entry, Pressure], Awaitable[None]],
 ) -> None:
-    """Run so many entries that know one another; the last one's level is the scene's to set."""
+    """Run `count` connected entries; the scenario gets the last one and its pressure."""
 
     async def run() -> None:
         entries: list[Entry] = []
@@ -349,7 +351,7 @@
             monkeypatch.setattr(linkmeter, "LinkPressure", lambda _, given=pressure: given)
             entries.append(Entry(f"e{n}", tuple(entry.peers for entry in entries)))
         await until_true(lambda: all(entry.knows(count) for entry in entries))
-        await scene(entries[-1], pressure)
+        await scenario(entries[-1], pressure)
         for entry in entries:
             await entry.stop()
 
@@ -357,10 +359,10 @@
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
-def test_an_entry_at_a_pressed_link_sends_callers_elsewhere_until_it_is_free(
+def test_overloaded_entry_refuses_jobs_until_its_link_is_free(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(entry: Entry, pressure: Pressure) -> None:
+    async def scenario(entry: Entry, pressure: Pressure) -> None:
         assert await entry.ready() == 200
         pressure.level = PressureLevel.PRESSED
         await until_true(lambda: entry.turns_away)
@@ -371,65 +373,67 @@
         assert await entry.ready() == 200
         assert (await entry.submit("/q/2"))[1] != b"link_pressed"
 
-    with_entries(monkeypatch, 2, scene)
+    run_with_entries(monkeypatch, 2, scenario)
 
 
-def test_pressed_entries_send_nobody_round_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(entry: Entry, pressure: Pressure) -> None:
+def test_refusals_of_an_overloaded_entry_ask_for_a_later_retry(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(entry: Entry, pressure: Pressure) -> None:
         pressure.level = PressureLevel.PRESSED
         await until_true(lambda: entry.turns_away)
         assert await entry.submit("/q/1") == (503, b"link_pressed")
         assert float(await entry.retry_after("/q/2")) >= 1
 
-    with_entries(monkeypatch, 2, scene)
+    run_with_entries(monkeypatch, 2, scenario)
 
 
-def test_an_entry_that_knows_no_other_stays_ready(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(entry: Entry, pressure: Pressure) -> None:
+def test_overloaded_entry_without_peers_stays_ready(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(entry: Entry, pressure: Pressure) -> None:
         pressure.level = PressureLevel.PRESSED
         await until_true(lambda: entry.turns_away)
         assert await entry.ready() == 200
         assert await entry.submit("/q/1") == (503, b"link_pressed")
 
-    with_entries(monkeypatch, 1, scene)
+    run_with_entries(monkeypatch, 1, scenario)
 
 
-def test_an_entry_that_sheds_takes_jobs_and_leaves_the_largest_part_out_of_its_dump(
+def test_shedding_entry_accepts_jobs_and_omits_targets_from_its_dump(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(entry: Entry, pressure: Pressure) -> None:
+    async def scenario(entry: Entry, pressure: Pressure) -> None:
         pressure.level = PressureLevel.SHEDDING
         await until_true(lambda: isinstance(entry.service.describe()["targets"], str))
         assert await entry.ready() == 200
         assert (await entry.submit("/q/1"))[1] != b"link_pressed"
         assert isinstance(entry.service.describe()["targets"], str)
 
-    with_entries(monkeypatch, 1, scene)
+    run_with_entries(monkeypatch, 1, scenario)
 
 
-def test_connections_end_with_their_answers_once_the_balancer_has_noticed(
+def test_overloaded_entry_closes_keep_alive_connections_after_the_balancer_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(entryservice, "BALANCER_DELAY_SECONDS", 0.3)
 
-    async def scene(entry: Entry, pressure: Pressure) -> None:
+    async def scenario(entry: Entry, pressure: Pressure) -> None:
         closed: list[bool] = []
         for level in (PressureLevel.NORMAL, PressureLevel.PRESSED):
             pressure.level = level
             await asyncio.sleep(0.7)
-            closed.append(b"Connection: close" in await entry.raw_answer())
+            closed.append(b"Connection: close" in await entry.response_head())
         assert closed == [False, True]
 
-    with_entries(monkeypatch, 2, scene)
+    run_with_entries(monkeypatch, 2, scenario)
 
 
 @pytest.mark.parametrize(
-    ("others", "status"), [(40, 503), (0, 200)], ids=["others-have-some", "nobody-has-any"]
+    ("others", "status"), [(40, 503), (0, 200)], ids=["others-have-targets", "no-entry-has-targets"]
 )
-def test_an_entry_that_has_lost_its_targets_is_ready_only_if_no_other_has_any(
+def test_entry_without_targets_is_ready_only_if_no_other_entry_has_any(
     monkeypatch: pytest.MonkeyPatch, others: int, status: int
 ) -> None:
-    async def scene(entry: Entry, pressure: Pressure) -> None:
+    async def scenario(entry: Entry, pressure: Pressure) -> None:
         entry.service.receive_target_count(others, "e9")
         links = entry.service._links
         links["t1"] = PeerLink(entry.service._incoming_handler, 1.0)
@@ -439,4 +443,4 @@
         await asyncio.sleep(GONE_SECONDS + 0.3)
         assert await entry.ready() == status
 
-    with_entries(monkeypatch, 1, scene)
+    run_with_entries(monkeypatch, 1, scenario)
--- a/testing/node/aio/test_logwriter.py
+++ b/testing/node/aio/test_logwriter.py
@@ -1,20 +1,20 @@
-"""Log lines: bounded a second, and never in the way."""
+"""Tests for `LogWriter`: rate limits, buffering and writes to a full pipe."""
 
 import pytest
 from paddleshunt_core.events import note
 from paddleshunt_node.aio.logwriter import (
-    COLLECTED_BYTES,
-    FAILED_LINES_A_SECOND,
-    LINES_A_SECOND,
+    MAX_BLOCK_BYTES,
+    MAX_FAILURE_LINES_PER_SECOND,
+    MAX_LINES_PER_SECOND,
     LogWriter,
 )
 
 
 @pytest.mark.parametrize(
     ("event", "budget"),
-    [("job_placed", LINES_A_SECOND), ("job_answered", FAILED_LINES_A_SECOND)],
+    [("job_placed", MAX_LINES_PER_SECOND), ("job_answered", MAX_FAILURE_LINES_PER_SECOND)],
 )
-def test_lines_beyond_the_budget_are_counted(
+def test_lines_over_budget_are_counted(
     event: str, budget: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
     lines = LogWriter()
@@ -26,7 +26,7 @@
     assert f"event=lines_left_out kind={event} lines=7" in written[-2]
 
 
-def test_a_full_pipe_drops_and_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_line_is_dropped_and_counted_on_a_full_pipe(monkeypatch: pytest.MonkeyPatch) -> None:
     lines = LogWriter()
 
     def full(descriptor: int, data: bytes) -> int:
@@ -37,7 +37,7 @@
     assert lines.dropped == 1
 
 
-def test_collected_lines_are_written_in_one_block(capfd: pytest.CaptureFixture[str]) -> None:
+def test_flush_writes_buffered_lines(capfd: pytest.CaptureFixture[str]) -> None:
     lines = LogWriter(collect=True)
     lines.event(1.0, "job_admitted")
     lines.event(1.0, "job_placed")
@@ -48,7 +48,7 @@
     assert len(capfd.readouterr().out.splitlines()) == 2
 
 
-def test_what_explains_a_failed_request_is_not_held_back(
+def test_failure_events_are_written_at_once(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     lines = LogWriter(collect=True)
@@ -60,7 +60,7 @@
     ]
 
 
-def test_a_block_is_never_longer_than_a_pipe_takes_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_block_size_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     blocks: list[bytes] = []
 
     def take(descriptor: int, data: bytes) -> int:
@@ -73,10 +73,10 @@
         lines.event(1.0, "job_admitted", queue="q" * 40)
     lines.flush()
     assert sum(block.count(b"\n") for block in blocks) == 100
-    assert max(map(len, blocks)) <= COLLECTED_BYTES
+    assert max(map(len, blocks)) <= MAX_BLOCK_BYTES
 
 
-def test_a_full_pipe_counts_each_line_of_a_block(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_line_of_a_dropped_block_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     lines = LogWriter(collect=True)
 
     def full(descriptor: int, data: bytes) -> int:
