--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the other entries, and says to them: who lives, the operator's word."""
+"""Gossip between entries: live entries, configurations, evacuations and lost runners."""
 
 import asyncio
 from random import Random
@@ -35,25 +35,24 @@
 from paddleshunt_node.aio.framing import PeerLink
 
 GOSSIP_SECONDS = 0.4
-"""Seconds between two messages to each other entry."""
+"""Seconds between two gossip messages to each other entry."""
 
 SHED_GOSSIP_SECONDS = 0.7
-"""The same while the own link is pressed: two rounds fit into the time for which an entry counts
-as alive."""
+"""Seconds between gossip messages while the own link is overloaded; two rounds fit into
+`ENTRY_ALIVE_SECONDS`."""
 
-ENTRY_FRESH = 1.5
-"""Seconds since an entry was heard for which it counts as alive."""
+ENTRY_ALIVE_SECONDS = 1.5
+"""Seconds since an entry's last message for which it counts as alive."""
 
-TELL_PAUSE = 0.05
-"""Seconds for which newly met entries are collected before targets are told of them."""
+ANNOUNCE_DELAY_SECONDS = 0.05
+"""Seconds for which new entries are collected before they are announced to targets."""
 
-
-SPREAD_PAUSE = 0.02
-"""Shortest time between two looks at what the spreading of a configuration needs."""
+MIN_SPREAD_INTERVAL_SECONDS = 0.02
+"""Minimum seconds between two steps of spreading a configuration."""
 
 
 class PeerOwner(Protocol):
-    """The entry that speaks to the others."""
+    """The entry on whose behalf `EntryPeers` sends and receives."""
 
     @property
     def catalog(self) -> Catalog:
@@ -61,52 +60,55 @@
 
     @property
     def evacuations(self) -> Evacuations:
-        """The evacuated halls that are known."""
+        """The evacuated halls."""
 
     def adopt_catalog(self, catalog: Catalog, source: str) -> None:
-        """Take a configuration that another entry has."""
+        """Adopt another entry's configuration if it is newer."""
 
-    def asked_for_catalog(self, peer: str) -> None:
-        """Take note that another entry was asked for its configuration."""
+    def catalog_requested(self, peer: str) -> None:
+        """Record that another entry was asked for its configuration."""
 
-    def handed_out_catalog(self, peer: str, packed_bytes: int) -> None:
-        """Take note that another entry was sent the configuration."""
+    def catalog_sent(self, peer: str, packed_bytes: int) -> None:
+        """Record that another entry was sent the configuration."""
 
     def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
-        """Take the evacuated halls that another entry knows."""
+        """Apply another entry's list of evacuated halls if it is newer."""
 
     def known_losses(self) -> list[LossUpdate]:
-        """Return what is remembered of lost runners."""
+        """Return the recorded losses of runners."""
 
-    def told_loss(self, news: LossUpdate, source: str) -> None:
-        """Take another entry's word on a lost runner."""
+    def receive_loss(self, news: LossUpdate, source: str) -> None:
+        """Process another entry's report on a lost runner."""
 
     @property
     def speeds(self) -> Speeds:
-        """What is known of how slow the kinds of hosts are."""
+        """The measured slowness of each kind of host."""
 
-    def told_speeds(self, news: SpeedUpdate, source: str) -> None:
-        """Take another entry's word on kinds of hosts."""
+    def receive_speeds(self, news: SpeedUpdate, source: str) -> None:
+        """Process another entry's measurements of kinds of hosts."""
 
-    def targets_held(self) -> int:
-        """Return how many targets are in session."""
+    def target_count(self) -> int:
+        """Return the number of connected targets."""
 
-    def told_targets(self, targets: int, source: str) -> None:
-        """Take another entry's word on how many targets it has."""
+    def receive_target_count(self, targets: int, source: str) -> None:
+        """Record how many targets another entry is connected to."""
 
-    def found(self, entry: EntryAddress) -> None:
-        """Take note of an entry that is new, or has moved."""
+    def entry_found(self, entry: EntryAddress) -> None:
+        """Record an entry that is new or whose address has changed."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Take note of a word that can't be read."""
+        """Record a message that can't be decoded."""
 
-    def tell_targets(self, changes: EntryChanges) -> None:
-        """Tell the targets which entries have joined or gone."""
+    def notify_targets(self, changes: EntryChanges) -> None:
+        """Send all targets the entries that have joined or gone."""
 
 
 @final
 class EntryPeers:
-    """The other entries, and the connections that this entry has made to them."""
+    """Tracks the other entries, and exchanges gossip with them.
+
+    `greeting` is sent over each new connection; `silence` is its time-out in seconds.
+    """
 
     def __init__(
         self,
@@ -120,136 +122,133 @@
         self._own = own
         self._greeting = greeting
         self._known: dict[str, tuple[EntryAddress, float]] = {}
-        self._told: dict[str, EntryAddress] = {own.name: own}
-        """The entries that targets have been told of."""
-        self._telling = False
-        self._turn = 0
+        self._announced: dict[str, EntryAddress] = {own.name: own}
+        """The entries last announced to targets, by name."""
+        self._announcing = False
+        self._list_turn = 0
         self.sheds = False
-        """Whether this host's link is pressed, so that what can wait is left out."""
+        """Whether this host's link is overloaded, so that deferrable messages are left out."""
         self._spread = CatalogSync(Random(), link_mbps)
-        self._askers: dict[str, PeerLink] = {}
-        """By name, the connection over which an entry has asked for the configuration."""
+        self._requesters: dict[str, PeerLink] = {}
+        """Connections of the entries that have requested the configuration, by name."""
         self._packed = PackedCatalog(0, b"")
-        self._spreading: asyncio.TimerHandle | None = None
+        self._spread_timer: asyncio.TimerHandle | None = None
         self._spread_due = 0.0
-        """When that timer goes off."""
+        """When the timer fires."""
         self._dialer = Dialer(self, own.address, silence, lambda _: True)
 
-    def seeds(self, addresses: set[str]) -> None:
-        """Try these addresses for ever."""
-        self._dialer.seeds(addresses)
+    def set_seeds(self, addresses: set[str]) -> None:
+        """Replace the addresses that are always dialled."""
+        self._dialer.set_seeds(addresses)
 
     def links(self) -> list[PeerLink]:
-        """Return the connections to other entries that this one has made."""
+        """Return the open connections that this entry has made to others."""
         return self._dialer.links()
 
     def names(self) -> list[str]:
-        """Return the names of all entries that were met."""
+        """Return the names of all other entries that were ever seen."""
         return sorted(self._known)
 
     def live(self) -> list[EntryAddress]:
-        """Return the entries that were heard lately, and this one."""
+        """Return this entry, and those whose last message is recent."""
         now = clock.now()
-        live = [entry for entry, at in self._known.values() if now < at + ENTRY_FRESH]
+        live = [entry for entry, at in self._known.values() if now < at + ENTRY_ALIVE_SECONDS]
         return sorted([*live, self._own])
 
-    def heard_within(self, seconds: float) -> bool:
-        """Whether any other entry was heard in the last so many seconds."""
+    def any_seen_within(self, seconds: float) -> bool:
+        """Whether any other entry has sent a message in the last `seconds`."""
         now = clock.now()
         return any(now < at + seconds for _, at in self._known.values())
 
-    def told(self) -> list[EntryAddress]:
-        """Return the entries that targets have been told of; what changes is told to all."""
-        return sorted(self._told.values())
+    def announced(self) -> list[EntryAddress]:
+        """Return the entries last announced; a target gets these first, and later only changes."""
+        return sorted(self._announced.values())
 
     def entry_discovered(self, entry: EntryAddress) -> None:
-        """Dial an entry that was heard of."""
-        self._dialer.want(clock.now(), entry.address)
+        """Dial an entry whose address was learned."""
+        self._dialer.add(clock.now(), entry.address)
 
-    def note(self, entry: EntryAddress) -> None:
-        """Take an entry's greeting."""
+    def record_entry(self, entry: EntryAddress) -> None:
+        """Record an entry that has sent a hello, and announce it if it is new."""
         if not valid_entries([entry], entry.name, self._owner.refuse):
             return
         known = self._known.get(entry.name)
         self._known[entry.name] = (entry, clock.now())
         self.entry_discovered(entry)
         if known is None or known[0] != entry:
-            self._owner.found(entry)
+            self._owner.entry_found(entry)
             self._send_all(Entries([entry]))
-            self._tell_soon()
+            self._announce_soon()
 
-    def tell_catalog(self, catalog: Catalog) -> None:
-        """Tell all which version is in force now; who can't get it elsewhere asks for it."""
+    def announce_catalog(self, catalog: Catalog) -> None:
+        """Send all entries the version in force; those without another source request it."""
         self._spread.set_version(catalog.version)
         self._send_all(CatalogVersion(catalog.version))
 
-    def tell_evacuations(self, evacuated: EvacuatedHalls) -> None:
-        """Tell all which halls are evacuated."""
+    def broadcast_evacuations(self, evacuated: EvacuatedHalls) -> None:
+        """Send all entries the evacuated halls."""
         self._send_all(EvacuationUpdate(evacuated))
 
-    def tell_loss(self, news: LossUpdate) -> None:
-        """Hand a word on a lost runner on to all."""
+    def broadcast_loss(self, news: LossUpdate) -> None:
+        """Send all entries a report on a lost runner."""
         self._send_all(news)
 
-    async def dial_for_ever(self) -> None:
+    async def dial_forever(self) -> None:
         """Keep a connection to each entry until cancelled."""
         await self._dialer.run()
 
-    async def gossip_for_ever(self) -> None:
-        """Tell entries and targets what is known until cancelled.
+    async def gossip_forever(self) -> None:
+        """Send entries and targets the known state until cancelled.
 
-        A round tells each entry no more than the versions, so that its bytes grow with the entries
-        and not with their square. Who lives is told when an entry is met; one other entry a round
-        gets the whole list, in turn, in case it missed something. How slow kinds of hosts are is
-        told when it has changed.
+        A round sends each entry only versions and counts, so that its bytes grow linearly with the
+        number of entries. The list of live entries goes to new connections, and to one entry a
+        round in turn, which repairs what was missed. Speeds are sent when they have changed.
         """
         while True:
-            self._tell_changes()
+            self._announce_changes()
             self._send_all(
                 CatalogVersion(self._owner.catalog.version),
                 EvacuationUpdate(self._owner.evacuations.known),
-                SessionCount(self._owner.targets_held()),
+                SessionCount(self._owner.target_count()),
             )
             learned = self._owner.speeds.take_changes()
             if learned is not None:
                 self._send_all(learned)
             links = self._dialer.links()
             if links and not self.sheds:
-                self._turn = (self._turn + 1) % len(links)
-                links[self._turn].send(_loose(Entries(self.live())))
+                self._list_turn = (self._list_turn + 1) % len(links)
+                links[self._list_turn].send(_sessionless_frame(Entries(self.live())))
             await asyncio.sleep(SHED_GOSSIP_SECONDS if self.sheds else GOSSIP_SECONDS)
 
     def _send_all(self, *bodies: Body) -> None:
-        frame = _loose(*bodies)
+        frame = _sessionless_frame(*bodies)
         for link in self._dialer.links():
             link.send(frame)
 
-    def _tell_soon(self) -> None:
-        if not self._telling:
-            self._telling = True
-            asyncio.get_running_loop().call_later(TELL_PAUSE, self._tell_changes)
+    def _announce_soon(self) -> None:
+        if not self._announcing:
+            self._announcing = True
+            asyncio.get_running_loop().call_later(ANNOUNCE_DELAY_SECONDS, self._announce_changes)
 
-    def _tell_changes(self) -> None:
-        """Tell targets which entries have joined or gone since they were told."""
-        self._telling = False
+    def _announce_changes(self) -> None:
+        """Send targets the entries that have joined or gone since the last announcement."""
+        self._announcing = False
         live = {entry.name: entry for entry in self.live()}
-        joined = [entry for entry in live.values() if self._told.get(entry.name) != entry]
-        gone = [name for name in self._told if name not in live]
+        joined = [entry for entry in live.values() if self._announced.get(entry.name) != entry]
+        gone = [name for name in self._announced if name not in live]
         if joined or gone:
-            self._told = live
-            self._owner.tell_targets(EntryChanges(joined, gone))
+            self._announced = live
+            self._owner.notify_targets(EntryChanges(joined, gone))
 
-    # The configuration.
-
-    def _take_version(self, link: PeerLink, told: CatalogVersion) -> None:
-        if told.wanted:
-            self._askers[link.peer] = link
-            self._spread.on_request(link.peer, told.version)
+    def _handle_version(self, link: PeerLink, offered: CatalogVersion) -> None:
+        if offered.wanted:
+            self._requesters[link.peer] = link
+            self._spread.on_request(link.peer, offered.version)
         else:
-            self._spread.on_version(clock.now(), link.peer, told.version)
+            self._spread.told(clock.now(), link.peer, offered.version)
         self._spread_when_due()
 
-    def _unpack(self, link: PeerLink, packed: PackedCatalog) -> None:
+    def _handle_packed_catalog(self, link: PeerLink, packed: PackedCatalog) -> None:
         try:
             catalog = unpack(packed)
         except CatalogPackError as problem:
@@ -261,105 +260,103 @@
         due = self._spread.due()
         if due is None:
             return
-        due = max(due, clock.now() + SPREAD_PAUSE)
-        if self._spreading is not None:
+        due = max(due, clock.now() + MIN_SPREAD_INTERVAL_SECONDS)
+        if self._spread_timer is not None:
             if self._spread_due <= due:
                 return
-            self._spreading.cancel()
+            self._spread_timer.cancel()
         self._spread_due = due
         loop = asyncio.get_running_loop()
-        self._spreading = loop.call_later(due - clock.now(), self._spread_catalog)
+        self._spread_timer = loop.call_later(due - clock.now(), self._spread_catalog)
 
     def _spread_catalog(self) -> None:
-        """Ask for a configuration, or hand a copy out, if it is time."""
-        self._spreading = None
+        """Request a configuration, or send copies of it, as far as due."""
+        self._spread_timer = None
         for step in self._spread.act(clock.now(), may_send=not self.sheds):
             match step:
                 case RequestCatalog():
-                    self._ask_for_catalog(step.peer)
+                    self._request_catalog(step.peer)
                 case SendCatalog():
-                    self._hand_out_catalog(step.peer)
+                    self._send_catalog(step.peer)
         self._spread_when_due()
 
-    def _ask_for_catalog(self, peer: str) -> None:
-        question = CatalogVersion(self._owner.catalog.version, wanted=True)
+    def _request_catalog(self, peer: str) -> None:
+        request = CatalogVersion(self._owner.catalog.version, wanted=True)
         for link in self._dialer.links():
             if link.peer == peer:
-                link.send(_loose(question))
-                self._owner.asked_for_catalog(peer)
+                link.send(_sessionless_frame(request))
+                self._owner.catalog_requested(peer)
                 return
 
-    def _hand_out_catalog(self, peer: str) -> None:
+    def _send_catalog(self, peer: str) -> None:
         catalog = self._owner.catalog
         if self._packed.version != catalog.version:
             self._packed = pack(catalog)
         size = len(self._packed.content)
-        self._askers.pop(peer).send(_loose(self._packed))
+        self._requesters.pop(peer).send(_sessionless_frame(self._packed))
         self._spread.copy_sent(clock.now(), size)
-        self._owner.handed_out_catalog(peer, size)
-
-    # Connections that this entry has made.
+        self._owner.catalog_sent(peer, size)
 
     def connection_opened(self, link: PeerLink) -> None:
-        """Greet an entry that was dialled; tell it all others, lost runners and kinds of hosts."""
+        """Send a dialled entry the hello and the whole known state."""
         link.send(self._greeting)
         speeds = self._owner.speeds.export()
         known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
         version = CatalogVersion(self._owner.catalog.version)
-        link.send(_loose(Entries(self.live()), version, *known))
+        link.send(_sessionless_frame(Entries(self.live()), version, *known))
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
-        """Take the greeting of an entry that was dialled."""
-        self.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
+        """Record an entry that was dialled."""
+        self.record_entry(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
-        """Take what another entry says, over whichever connection."""
+        """Process a frame of another entry, over either side's connection."""
         for body in frame.bodies:
-            self._take(link, body)
+            self._handle_body(link, body)
         known = self._known.get(link.peer)
         if known is not None:
             self._known[link.peer] = (known[0], clock.now())
 
-    def _take(self, link: PeerLink, body: Body) -> None:
+    def _handle_body(self, link: PeerLink, body: Body) -> None:
         match body:
             case Entries():
                 for entry in valid_entries(body.entries, link.peer, self._owner.refuse):
                     self.entry_discovered(entry)
             case EvacuationUpdate():
                 if self._owner.evacuations.supersedes(body.evacuated):
-                    link.send(_loose(EvacuationUpdate(self._owner.evacuations.known)))
+                    link.send(_sessionless_frame(EvacuationUpdate(self._owner.evacuations.known)))
                 self._owner.apply_evacuations(body.evacuated, link.peer)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
-                self._owner.told_loss(body, link.peer)
+                self._owner.receive_loss(body, link.peer)
             case CatalogUpdate():
                 self._owner.adopt_catalog(body.catalog, link.peer)
             case PackedCatalog():
-                self._unpack(link, body)
+                self._handle_packed_catalog(link, body)
             case CatalogVersion():
-                self._take_version(link, body)
+                self._handle_version(link, body)
             case _:
-                self._take_figures(link, body)
+                self._handle_statistics(link, body)
 
-    def _take_figures(self, link: PeerLink, body: Body) -> None:
+    def _handle_statistics(self, link: PeerLink, body: Body) -> None:
         match body:
             case SpeedUpdate():
-                self._owner.told_speeds(body, link.peer)
+                self._owner.receive_speeds(body, link.peer)
             case SessionCount():
-                self._owner.told_targets(body.count, link.peer)
+                self._owner.receive_target_count(body.count, link.peer)
             case _:
                 pass
 
     def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
-        """Take note of a message that can't be read."""
+        """Record a message that can't be decoded."""
         self._owner.refuse(refusal)
 
     def connection_closed(self, link: PeerLink) -> None:
-        """Make another connection."""
+        """Drop the peer's pending request, and dial it again."""
         self._spread.peer_left(link.peer)
-        self._askers.pop(link.peer, None)
-        self._dialer.lost(link)
+        self._requesters.pop(link.peer, None)
+        self._dialer.redial(link)
 
 
-def _loose(*bodies: Body) -> Frame:
-    """Return a frame outside any session."""
+def _sessionless_frame(*bodies: Body) -> Frame:
+    """Return a frame that belongs to no session."""
     return Frame(1, 0, 0, 0, list(bodies))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -9,7 +9,7 @@
 
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.sharedbuffer import SharedBufferProtocol
-from paddleshunt_node.aio.sockets import prepare
+from paddleshunt_node.aio.sockets import set_socket_options
 
 LENGTH_BYTES = 4
 MAX_MESSAGE = 8 << 20
@@ -49,7 +49,7 @@
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
         self.peer = ""
-        self.made = clock.now()
+        self.created_at = clock.now()
         """When it was dialled or taken."""
         self.written = 0
         """Bytes that were handed to it."""
@@ -58,7 +58,7 @@
         """Take the connection."""
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
-        prepare(transport, self._silence)
+        set_socket_options(transport, self._silence)
         self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -8,10 +8,10 @@
 from paddleshunt_node import listening
 
 MAX_HOST_LENGTH = 253
-"""Signs of a host's name, as in DNS; one of its parts has at most `MOST_PART`."""
+"""Signs of a host's name, as in DNS; one of its parts has at most `MAX_LABEL_LENGTH`."""
 
-MOST_PART = 63
-LAST_PORT = 65535
+MAX_LABEL_LENGTH = 63
+MAX_PORT = 65535
 
 _HOST = re.compile(r"[A-Za-z0-9._:%\[\]-]+", re.ASCII)
 _PORT = re.compile(r"[0-9]{1,5}", re.ASCII)
@@ -26,7 +26,7 @@
     host, _, port = address.rpartition(":")
     if not _is_host(host):
         raise AddressError(f"no host in {address[:MAX_HOST_LENGTH]!r}")
-    if not _PORT.fullmatch(port) or not 0 <= int(port) <= LAST_PORT:
+    if not _PORT.fullmatch(port) or not 0 <= int(port) <= MAX_PORT:
         raise AddressError(f"no port in {address[:MAX_HOST_LENGTH]!r}")
     return host, int(port)
 
@@ -34,7 +34,7 @@
 def _is_host(host: str) -> bool:
     if len(host) > MAX_HOST_LENGTH or not _HOST.fullmatch(host):
         return False
-    return all(0 < len(part) <= MOST_PART for part in host.split("."))
+    return all(0 < len(part) <= MAX_LABEL_LENGTH for part in host.split("."))
 
 
 async def serve(factory: Callable[[], asyncio.BaseProtocol], address: str) -> asyncio.Server:
@@ -48,7 +48,7 @@
     return await loop.create_server(factory, sock=listener, backlog=listening.BACKLOG)
 
 
-def prepare(transport: asyncio.BaseTransport, silence: float) -> None:
+def set_socket_options(transport: asyncio.BaseTransport, silence: float) -> None:
     """Send small writes at once, and break a connection that is silent for `silence` seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/unconfirmed.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/unconfirmed.py
@@ -1,44 +1,44 @@
-"""Accounts of lives of a runner that the runner has not confirmed yet."""
+"""Statuses of a runner's incarnations that the runner has not confirmed yet."""
 
 from typing import final
 
 from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
-MOST_CLAIMS = 32
-"""Lives that the runner has not confirmed yet; a host sees some of them a day."""
+MAX_UNCONFIRMED = 32
+"""Incarnations kept; above it, the oldest is dropped."""
 
 
 @final
 class UnconfirmedStatuses:
-    """By life, its newest account; it may say by then that the life is leaving."""
+    """The newest status of each unconfirmed incarnation."""
 
     def __init__(self) -> None:
-        self._accounts: dict[RunnerIncarnation, RunnerStatus] = {}
+        self._newest: dict[RunnerIncarnation, RunnerStatus] = {}
 
-    def __contains__(self, life: RunnerIncarnation) -> bool:
-        return life in self._accounts
+    def __contains__(self, incarnation: RunnerIncarnation) -> bool:
+        return incarnation in self._newest
 
-    def keep(self, account: RunnerStatus) -> None:
-        """Keep an account, unless a newer one of its life is known."""
-        known = self._accounts.get(account.runner)
-        if known is None or account.sequence > known.sequence:
-            self._accounts[account.runner] = account
-        if len(self._accounts) > MOST_CLAIMS:
-            del self._accounts[next(iter(self._accounts))]
+    def keep(self, status: RunnerStatus) -> None:
+        """Store a status, unless a newer one of its incarnation is stored."""
+        known = self._newest.get(status.runner)
+        if known is None or status.sequence > known.sequence:
+            self._newest[status.runner] = status
+        if len(self._newest) > MAX_UNCONFIRMED:
+            del self._newest[next(iter(self._newest))]
 
-    def newest(self, life: RunnerIncarnation) -> RunnerStatus | None:
-        """Return the newest account of a life."""
-        return self._accounts.get(life)
+    def newest(self, incarnation: RunnerIncarnation) -> RunnerStatus | None:
+        """Return the newest status of an incarnation."""
+        return self._newest.get(incarnation)
 
     def all(self) -> list[RunnerStatus]:
-        """Return the accounts that are kept."""
-        return list(self._accounts.values())
+        """Return the stored statuses."""
+        return list(self._newest.values())
 
-    def drop(self, life: RunnerIncarnation) -> None:
-        """Forget a life."""
-        self._accounts.pop(life, None)
+    def drop(self, incarnation: RunnerIncarnation) -> None:
+        """Remove an incarnation's status."""
+        self._newest.pop(incarnation, None)
 
     def clear(self) -> None:
-        """Forget all."""
-        self._accounts.clear()
+        """Remove all statuses."""
+        self._newest.clear()
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -203,7 +203,7 @@
         poll = asyncio.ensure_future(runner.poll(FIRST_LOOK))
         await asyncio.sleep(0)
         runner.expect(RunnerIncarnation("i-1"))
-        assert await look == Superseded()
+        assert await poll == Superseded()
 
     play(scene)
 
--- a/testing/node/aio/test_measures.py
+++ b/testing/node/aio/test_metrics.py
@@ -44,7 +44,7 @@
 
 def test_noting_does_not_import_the_library() -> None:
     program = (
-        "import sys; from paddleshunt_node.aio.metrics import Measures; m = Measures();"
+        "import sys; from paddleshunt_node.aio.metrics import Metrics; m = Metrics();"
         "m.event('started'); m.stage('ordered', 0.1); print('aioprometheus' in sys.modules)"
     )
     result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True)
