--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -245,7 +245,7 @@
             self._requesters[link.peer] = link
             self._spread.on_request(link.peer, offered.version)
         else:
-            self._spread.told(clock.now(), link.peer, offered.version)
+            self._spread.on_version(clock.now(), link.peer, offered.version)
         self._spread_when_due()
 
     def _handle_packed_catalog(self, link: PeerLink, packed: PackedCatalog) -> None:
