--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -258,7 +258,7 @@
 
 def survive_a_pause(patch: pytest.MonkeyPatch) -> None:
     """Pending runs survive a pause, and the lease counts from when an echo is read."""
-    patch.setattr(LeaseTimes, "pending", 3600.0)
+    patch.setattr(LeaseTimes, "confirm_timeout", 3600.0)
 
     def lease_left(self: EntryLink, now: float, times: LeaseTimes) -> float:
         return self.last_received + times.session - now
@@ -301,7 +301,7 @@
 
 def withdraw_started_runs(patch: pytest.MonkeyPatch) -> None:
     """An entry assumes that a silent target has started nothing."""
-    patch.setattr(TargetRecord, "may_begin", lambda self, times, placed_at: False)
+    patch.setattr(TargetRecord, "may_have_started", lambda self, times, placed_at: False)
 
 
 @pytest.mark.parametrize(
--- a/testing/node/aio/test_entryvalidation.py
+++ b/testing/node/aio/test_entryvalidation.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from paddleshunt_core.leased.refusals import Refusal, Word
+from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.sockets import AddressError, split_address
@@ -58,7 +58,7 @@
 def test_an_odd_entry_hides_no_other(odd: EntryAddress) -> None:
     refused: list[Refusal] = []
     assert valid_entries([GOOD, odd, GOOD], "e9", refused.append) == [GOOD, GOOD]
-    assert [(one.kind, one.sender) for one in refused] == [(Word.ADDRESS, "e9")]
+    assert [(one.kind, one.sender) for one in refused] == [(InputKind.ADDRESS, "e9")]
 
 
 @settings(max_examples=200, derandomize=True, database=None, deadline=None)
