--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
@@ -35,20 +35,20 @@
         self._down_since: dict[str, float] = {}
         """When the runner of a target that was eligible went down."""
         self.members: frozenset[str] = frozenset()
-        self.known = 0
+        self.eligible_count = 0
         """Number of eligible targets of the service, inside the bulkhead or outside."""
 
     def choose(self, now: float, targets: Iterable[TargetRecord], width: int) -> None:
         """Choose `width` times the usual share of the service's eligible targets."""
         placed = [target.name for target in targets if self._is_eligible(now, target)]
         self._eligible_once.update(placed)
-        self.known = len(placed)
-        count = width * max(1, round(TARGET_SHARE * self.known))
+        self.eligible_count = len(placed)
+        count = width * max(1, round(TARGET_SHARE * self.eligible_count))
         self.members = frozenset(sorted(placed, key=self._rank)[:count])
 
     def is_too_wide(self) -> bool:
         """Whether it holds at least half of the targets, too many to protect other queues."""
-        return 2 * len(self.members) >= self.known
+        return 2 * len(self.members) >= self.eligible_count
 
     def _is_eligible(self, now: float, target: TargetRecord) -> bool:
         """Whether a target's runner accepts work, or went down only recently."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -41,10 +41,10 @@
 """
 
 MAX_LISTED = 16
-"""Targets or runners that one log line lists."""
+"""TargetSource or runners that one log line lists."""
 
 
-Targets = Callable[[], Iterable[TargetRecord]]
+TargetSource = Callable[[], Iterable[TargetRecord]]
 """Returns the targets in halls that are not evacuated; called only if there is evidence."""
 
 
@@ -78,7 +78,7 @@
     def steps(self) -> int:
         """Return how many times its targets have to double until it is released."""
         steps, members = 0, max(1, len(self.bulkhead.members))
-        while 2 * members < self.bulkhead.known:
+        while 2 * members < self.bulkhead.eligible_count:
             members *= 2
             steps += 1
         return max(1, steps)
@@ -117,7 +117,7 @@
         return {
             queue: {
                 "targets": sorted(confined.bulkhead.members),
-                "of": confined.bulkhead.known,
+                "of": confined.bulkhead.eligible_count,
                 "width": confined.width,
                 "losses": confined.losses,
                 "free_after_s": round(confined.seconds_to_release(), 2),
@@ -125,7 +125,7 @@
             for queue, confined in self._confined.items()
         }
 
-    def set_service(self, now: float, queue: Queue, targets: Targets) -> list[Log]:
+    def set_service(self, now: float, queue: Queue, targets: TargetSource) -> list[Log]:
         """Record which service runs a queue's tasks, and reconsider earlier losses."""
         known = self._services.get(queue.name)
         self._services[queue.name] = queue.service
@@ -133,13 +133,15 @@
             return []
         return self._confine(now, targets, self._evidence_log.queues_with_repeat_losses())
 
-    def learn(self, now: float, news: LossUpdate, targets: Targets) -> tuple[bool, list[Log]]:
+    def learn(
+        self, now: float, update: LossUpdate, targets: TargetSource
+    ) -> tuple[bool, list[Log]]:
         """Process a loss message; return whether it was new, and the resulting log lines."""
-        if not self._evidence_log.learn(now, news):
+        if not self._evidence_log.learn(now, update):
             return False, []
         logs = self._process_new_evidence(now, targets)
-        if isinstance(news, RunnerReturned):
-            logs += self._retract(now, news.loss, targets)
+        if isinstance(update, RunnerReturned):
+            logs += self._retract(now, update.loss, targets)
         return True, logs
 
     def follow(
@@ -162,7 +164,7 @@
 
         Jobs of other queues run on a confined queue's targets only if there is no room elsewhere.
         Tasks that were running on a lost runner are retried on targets that no other such queue
-        uses, so that a task that crashes a second runner can be told from those beside it.
+        uses, so that a task that crashes a second runner can be distinguished from those beside it.
         """
         confined = self._confined.get(job.queue.name)
         if confined is not None:
@@ -222,7 +224,7 @@
             == job.queue.name
         ]
 
-    def _process_new_evidence(self, now: float, targets: Targets) -> list[Log]:
+    def _process_new_evidence(self, now: float, targets: TargetSource) -> list[Log]:
         """Act on losses that have become evidence."""
         new = self._evidence_log.take_new_evidence(now)
         if not new:
@@ -232,7 +234,7 @@
                 self._confined[queue].lost(now)
         return self._confine(now, targets, self._evidence_log.queues_with_repeat_losses(new))
 
-    def _retract(self, now: float, returned: LossId, targets: Targets) -> list[Log]:
+    def _retract(self, now: float, returned: LossId, targets: TargetSource) -> list[Log]:
         """Release the queues with too little evidence left, as a runner has answered again."""
         logs: list[Log] = []
         reconsidered: set[str] = set()
@@ -240,7 +242,7 @@
             discounted = self._evidence_log.discounted(now, confined.evidence.losses)
             if not discounted:
                 continue
-            known = confined.bulkhead.known
+            known = confined.bulkhead.eligible_count
             left = self._evidence_log.evidence(now, queue, confined.since, known, ())
             logs.append(_retracted_log(queue, returned, discounted, left))
             if left is not None:
@@ -256,7 +258,7 @@
                     reconsidered.add(other)
         return logs + self._confine(now, targets, reconsidered)
 
-    def _confine(self, now: float, targets: Targets, queues: set[str]) -> list[Log]:
+    def _confine(self, now: float, targets: TargetSource, queues: set[str]) -> list[Log]:
         """Confine those of the given queues that have enough evidence against them."""
         known = list(targets()) if queues else []
         logs: list[Log] = []
@@ -281,10 +283,10 @@
         for queue in queues & self._services.keys() - self._confined.keys():
             bulkhead = Bulkhead(queue, self._services[queue])
             bulkhead.choose(now, targets, 1)
-            evidence = self._evidence(now, queue, bulkhead.known)
+            evidence = self._evidence(now, queue, bulkhead.eligible_count)
             if evidence is not None and not bulkhead.is_too_wide():
                 found.append((queue, bulkhead, evidence))
-        return min(found, key=lambda each: (each[2].chance, each[0]), default=None)
+        return min(found, key=lambda each: (each[2].probability, each[0]), default=None)
 
     def _evidence(self, now: float, queue: str, targets: int) -> Evidence | None:
         """Return the evidence against a queue that confined queues don't explain better."""
@@ -295,18 +297,18 @@
         worse = [
             q
             for q, c in self._confined.items()
-            if EXPLAINED_RATIO * c.evidence.chance <= evidence.chance
+            if EXPLAINED_RATIO * c.evidence.probability <= evidence.probability
         ]
         return self._evidence_log.evidence(now, queue, since, targets, worse)
 
     def _release_explained(self, now: float, queue: str) -> list[Log]:
         """Release the queues whose losses the newly confined one explains."""
         logs: list[Log] = []
-        worst = self._confined[queue].evidence.chance
+        worst = self._confined[queue].evidence.probability
         for other, confined in list(self._confined.items()):
-            if other == queue or confined.evidence.chance < EXPLAINED_RATIO * worst:
+            if other == queue or confined.evidence.probability < EXPLAINED_RATIO * worst:
                 continue
-            known = confined.bulkhead.known
+            known = confined.bulkhead.eligible_count
             if not self._evidence_log.evidence(now, other, confined.since, known, (queue,)):
                 self._confined[queue].cleared[other] = confined.since
                 logs.append(self._release(now, other, f"explained_by_{queue}"))
@@ -320,7 +322,7 @@
             "reason": reason,
             "after_ms": round((now - confined.confined_at) * 1000),
             "losses": confined.losses,
-            "targets": confined.bulkhead.known,
+            "targets": confined.bulkhead.eligible_count,
         }
         return note("queue_released", **fields)
 
@@ -361,10 +363,10 @@
         "queue_confined",
         queue=queue,
         targets=",".join(sorted(bulkhead.members)[:MAX_LISTED]),
-        of=bulkhead.known,
-        second_losses=evidence.second_losses,
-        lives=evidence.lives,
-        chance=round(evidence.chance, 6),
+        of=bulkhead.eligible_count,
+        second_losses=evidence.repeat_losses,
+        lives=evidence.silent_runners,
+        chance=round(evidence.probability, 6),
         runners=_format_incarnations(evidence.losses),
     )
 
@@ -381,7 +383,7 @@
         queue=queue,
         answers=str(returned.incarnation),
         runners=_format_incarnations(discounted),
-        second_losses_left=0 if left is None else left.second_losses,
+        second_losses_left=0 if left is None else left.repeat_losses,
     )
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -29,7 +29,7 @@
 WINDOW_SECONDS = 10.0
 """Seconds for which a loss counts as evidence; a caller retries a task sooner."""
 
-MAX_CHANCE = 0.02
+MAX_PROBABILITY = 0.02
 """Highest probability of a queue's repeat losses by chance at which it is held responsible."""
 
 MIN_PRESENT_SHARE = 0.75
@@ -63,7 +63,7 @@
 class _Silence:
     """A runner that fell silent, when this process learned of it, and which tasks it ran."""
 
-    at: float
+    learned_at: float
     loss: LossId
     work: RunTimes
     ended: bool = False
@@ -90,11 +90,11 @@
 class Evidence:
     """The evidence that a queue's tasks crash runners."""
 
-    second_losses: int
+    repeat_losses: int
     """Lost runners, at separate times, with a task that had been on a lost runner before."""
-    chance: float
+    probability: float
     """Upper bound of the probability that sound tasks show as many."""
-    lives: int
+    silent_runners: int
     """Runners that fell silent within the window."""
     losses: frozenset[LossId] = frozenset()
     """The repeat losses, and the first losses of the same tasks."""
@@ -127,22 +127,22 @@
         """Whether a silence may yet become evidence by lasting longer."""
         return not self._silences.keys() <= self._known_evidence
 
-    def learn(self, now: float, news: LossUpdate) -> bool:
+    def learn(self, now: float, update: LossUpdate) -> bool:
         """Process a loss message; return whether it was new."""
         self._expire(now)
-        loss = news.loss
-        if isinstance(news, RunnerReturned):
+        loss = update.loss
+        if isinstance(update, RunnerReturned):
             return self._retract(now, loss)
-        if isinstance(news, RunnerLost):
-            return self._add(now, news, now - news.ago_ms / 1000, ended=bool(news.ended))
-        return self._add(now, news, now, ended=False)
+        if isinstance(update, RunnerLost):
+            return self._add(now, update, now - update.ago_ms / 1000, ended=bool(update.ended))
+        return self._add(now, update, now, ended=False)
 
     def take_new_evidence(self, now: float) -> set[LossId]:
         """Return the losses that have become evidence since the last call."""
         self._expire(now)
-        take_new_evidence = {each.loss for each in self._counting(now)}
-        new = take_new_evidence - self._known_evidence
-        self._known_evidence = take_new_evidence
+        current = {each.loss for each in self._counting(now)}
+        new = current - self._known_evidence
+        self._known_evidence = current
         return new
 
     def has_returned(self, loss: LossId) -> bool:
@@ -195,9 +195,9 @@
         seen = [
             each
             for each in self._counting(now)
-            if each.at > since and not any(each.of(other) for other in explained)
+            if each.learned_at > since and not any(each.of(other) for other in explained)
         ]
-        seen.sort(key=lambda each: each.at)
+        seen.sort(key=lambda each: each.learned_at)
         repeats = _repeat_losses(queue, seen)
         if not repeats:
             return None
@@ -207,13 +207,15 @@
         # The tasks of a lost runner are retried, each on one runner, where as many losses hit them
         # by chance as happen during their run time.
         rate = (len(seen) - len(repeats)) / (WINDOW_SECONDS * max(1, targets))
-        retried = sum(each.at <= now - self._restart_seconds for each in present)
+        retried = sum(each.learned_at <= now - self._restart_seconds for each in present)
         length = 2 * _median([worked for each in seen for worked in each.of(queue).values()])
-        chance = _lowest_chance([rate * retried * min(each.worked, length) for each in repeats])
-        if chance > MAX_CHANCE:
+        probability = _lowest_probability(
+            [rate * retried * min(each.worked, length) for each in repeats]
+        )
+        if probability > MAX_PROBABILITY:
             return None
         involved = frozenset(loss for each in repeats for loss in (each.first_loss, each.repeat))
-        return Evidence(len(repeats), chance, len(seen), involved)
+        return Evidence(len(repeats), probability, len(seen), involved)
 
     def _counting(self, now: float) -> list[_Silence]:
         """Return the silences that count as evidence now.
@@ -222,7 +224,9 @@
         these, only silences count that have lasted longer than returns take.
         """
         lately_returned = {
-            life for life, (_, at) in self._returned.items() if at >= now - WINDOW_SECONDS
+            incarnation
+            for incarnation, (_, at) in self._returned.items()
+            if at >= now - WINDOW_SECONDS
         }
         still_silent = {loss.incarnation for loss in self._silences} - lately_returned
         mostly_back = len(lately_returned) >= len(still_silent)
@@ -231,13 +235,15 @@
             each
             for each in self._silences.values()
             if each.ended
-            or each.at <= outlasted
+            or each.learned_at <= outlasted
             or not (mostly_back or each.loss.incarnation in lately_returned)
         ]
 
-    def _add(self, now: float, news: RunnerLost | RunnerSilent, at: float, *, ended: bool) -> bool:
+    def _add(
+        self, now: float, update: RunnerLost | RunnerSilent, at: float, *, ended: bool
+    ) -> bool:
         """Record a silence learned of at time `at`; return whether it was new."""
-        loss = news.loss
+        loss = update.loss
         if loss in self._silences:
             return ended and self._mark_ended(loss)
         if self.has_returned(loss) or at <= now - WINDOW_SECONDS:
@@ -251,7 +257,7 @@
             # The same incarnation is silent again, so it had answered in between.
             self._retract(now, LossId.of(loss.incarnation, silent_ms))
         work: RunTimes = {}
-        for task, queue, ms in zip(news.tasks, news.queues, news.worked_ms, strict=False):
+        for task, queue, ms in zip(update.tasks, update.queues, update.worked_ms, strict=False):
             work.setdefault(queue, {})[task] = max(MIN_WORK_SECONDS, ms / 1000)
         self._silences[loss] = _Silence(at, loss, work, ended)
         self._loss_counts.update(task for tasks in work.values() for task in tasks)
@@ -280,7 +286,7 @@
 
     def _expire(self, now: float) -> None:
         for loss, seen in list(self._silences.items()):
-            if seen.at < now - WINDOW_SECONDS:
+            if seen.learned_at < now - WINDOW_SECONDS:
                 self._forget(loss)
 
     def _forget(self, loss: LossId) -> None:
@@ -297,15 +303,15 @@
     return (values[middle] + values[~middle]) / 2
 
 
-def _lowest_chance(expected: list[float]) -> float:
+def _lowest_probability(expected: list[float]) -> float:
     """Return the lowest probability by chance of any number of repeat losses.
 
     The n-th item of `expected` is the expected number of losses with runs as short as the n-th.
     """
     least, factorial = 1.0, 1
-    for count, usual in enumerate(expected, 1):
+    for count, mean in enumerate(expected, 1):
         factorial *= count
-        least = min(least, usual**count / factorial)
+        least = min(least, mean**count / factorial)
     return least
 
 
@@ -319,8 +325,8 @@
     shortest: dict[int, _RepeatLoss] = {}
     group, began = 0, float("-inf")
     for each in seen:
-        if each.at > began + CORRELATION_SECONDS:
-            group, began = group + 1, each.at
+        if each.learned_at > began + CORRELATION_SECONDS:
+            group, began = group + 1, each.learned_at
         by_queue: dict[str, _RepeatLoss] = {}
         for name, tasks in each.work.items():
             repeated = [
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -43,7 +43,7 @@
 class _Entry:
     """A loss, when its sender learned of it, and from when its retention counts."""
 
-    at: float
+    learned_at: float
     lost: RunnerLost
     kept_since: float
 
@@ -53,7 +53,7 @@
 class _Return:
     """The last return of an incarnation: its time, and the start of the silence that it ended."""
 
-    at: float
+    learned_at: float
     silent_ms: int
 
 
@@ -71,11 +71,11 @@
         self._by_task: dict[TaskId, list[RunnerIncarnation]] = {}
         self._returns: dict[RunnerIncarnation, _Return] = {}
 
-    def apply(self, now: float, news: LossUpdate) -> bool:
+    def apply(self, now: float, update: LossUpdate) -> bool:
         """Process a loss message; return whether it was new. `RunnerSilent` is ignored."""
-        if isinstance(news, RunnerReturned):
-            return self.returned(now, news.loss)
-        return isinstance(news, RunnerLost) and self.learn(now, news)
+        if isinstance(update, RunnerReturned):
+            return self.returned(now, update.loss)
+        return isinstance(update, RunnerLost) and self.learn(now, update)
 
     def learn(self, now: float, lost: RunnerLost) -> bool:
         """Record a loss as of the time its sender learned of it; return whether it was new.
@@ -94,7 +94,7 @@
             if silent_ms == known.lost.loss.silent_ms:
                 if set(lost.ended) <= set(known.lost.ended):
                     return False
-                at = known.at
+                at = known.learned_at
             self._forget(incarnation)
         self._losses[incarnation] = _Entry(at, lost, at)
         for task in lost.tasks:
@@ -142,7 +142,7 @@
             if now >= known.kept_since + RETENTION_SECONDS:
                 self._forget(incarnation)
         for incarnation, answered in list(self._returns.items()):
-            if now < answered.at + RETENTION_SECONDS:
+            if now < answered.learned_at + RETENTION_SECONDS:
                 break
             del self._returns[incarnation]
 
@@ -166,11 +166,11 @@
 
     def was_correlated(self, incarnation: RunnerIncarnation, job: str) -> bool:
         """Whether an incarnation was lost along with others that ran no task of a job."""
-        at = self._losses[incarnation].at
+        at = self._losses[incarnation].learned_at
         others = [
             each
             for other, each in self._losses.items()
-            if other != incarnation and abs(each.at - at) <= CORRELATION_SECONDS
+            if other != incarnation and abs(each.learned_at - at) <= CORRELATION_SECONDS
             if not any(task.job == job for task in each.lost.tasks)
         ]
         return len(others) >= CORRELATED_LOSSES
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -134,7 +134,7 @@
     """Completions that were compared with others of their job, or came from another entry."""
     shared: float = 1.0
     """The factor that was shared last."""
-    shared_own: float = 0.0
+    shared_weight: float = 0.0
     idle_seconds: float = 0.0
     """Seconds since the last completion."""
 
@@ -174,7 +174,7 @@
         if self.own_weight < MIN_SHARED_COMPLETIONS:
             return False
         changed = not 1 / SHARED_CHANGE <= self.raw_factor / self.shared <= SHARED_CHANGE
-        return changed or self.own_weight > SHARED_GROWTH * self.shared_own
+        return changed or self.own_weight > SHARED_GROWTH * self.shared_weight
 
 
 @final
@@ -307,17 +307,17 @@
         kinds = []
         for kind, evidence in self._kinds.items():
             if evidence.is_unshared():
-                evidence.shared, evidence.shared_own = evidence.raw_factor, evidence.own_weight
+                evidence.shared, evidence.shared_weight = evidence.raw_factor, evidence.own_weight
                 kinds.append(self._message(kind, evidence))
         return SpeedUpdate(kinds) if kinds else None
 
-    def merge(self, news: SpeedUpdate) -> list[KindSpeed]:
+    def merge(self, update: SpeedUpdate) -> list[KindSpeed]:
         """Adopt another entry's evidence where it is much stronger; return what was adopted.
 
         Adopted evidence counts as a few completions, so that own ones soon outweigh it, and is not
         shared again, so that nothing comes back as another's.
         """
-        return [message for message in news.kinds[:MAX_KINDS] if self._adopt(message)]
+        return [message for message in update.kinds[:MAX_KINDS] if self._adopt(message)]
 
     def _adopt(self, message: KindSpeed) -> bool:
         kind = (message.service, message.kind)
@@ -336,7 +336,7 @@
         known.weight = known.compared = min(ends / ADOPTION_RATIO, MIN_PROVEN_COMPLETIONS)
         raw_factor = factor ** ((known.weight + PRIOR_WEIGHT) / known.weight)
         known.raw_factor = known.shared = _clamped(raw_factor, MAX_FACTOR)
-        known.own_weight = known.shared_own = 0.0
+        known.own_weight = known.shared_weight = 0.0
         return True
 
     def _message(self, kind: Kind, evidence: _Evidence) -> KindSpeed:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -64,8 +64,8 @@
         offset, slope, deadline_slope = self._fitted()
         length = offset + slope * estimate + deadline_slope * deadline
         if length < RESENT_RATIO * estimate and deadline_slope > MIN_DEADLINE_SLOPE:
-            usual = (estimate - offset - slope * estimate) / deadline_slope
-            return JobPrediction(estimate, max(0.0, usual - deadline))
+            typical_deadline = (estimate - offset - slope * estimate) / deadline_slope
+            return JobPrediction(estimate, max(0.0, typical_deadline - deadline))
         least, most = estimate / MAX_RATIO, estimate * MAX_RATIO
         return JobPrediction(min(most, max(least, length)))
 
--- a/testing/core/leased/test_bulkhead.py
+++ b/testing/core/leased/test_bulkhead.py
@@ -53,7 +53,7 @@
 def test_targets_of_other_services_are_not_eligible(fleet: dict[str, TargetRecord]) -> None:
     bulkhead = Bulkhead("q", "svc")
     choose(bulkhead, 1.0, {**fleet, "x": target("x", service="other")})
-    assert bulkhead.known == len(fleet)
+    assert bulkhead.eligible_count == len(fleet)
 
 
 @pytest.mark.parametrize("gone", ["down", "no session"])
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -81,9 +81,9 @@
             case "copy":
                 entry.copies += 1
                 self._adopt(name)
-            case ("told", str(peer), int(version)):
+            case ("version", str(peer), int(version)):
                 entry.sync.on_version(self.now, peer, version)
-            case ("asked", str(peer), int(version)):
+            case ("request", str(peer), int(version)):
                 entry.sync.on_request(peer, version)
 
     def _adopt(self, name: str) -> None:
@@ -98,7 +98,7 @@
         for other in self.entries:
             if other != name:
                 self.schedule(
-                    self.now + LATENCY, other, ("told", name, self.entries[name].version_held)
+                    self.now + LATENCY, other, ("version", name, self.entries[name].version_held)
                 )
 
     def _act(self, name: str) -> None:
@@ -108,7 +108,7 @@
         for step in entry.sync.act(self.now):
             match step:
                 case RequestCatalog(peer):
-                    self.schedule(self.now + LATENCY, peer, ("asked", name, entry.version_held))
+                    self.schedule(self.now + LATENCY, peer, ("request", name, entry.version_held))
                 case SendCatalog(peer):
                     entry.sync.copy_sent(self.now, SIZE)
                     entry.sent.append(self.now)
--- a/testing/core/leased/test_crashes.py
+++ b/testing/core/leased/test_crashes.py
@@ -160,9 +160,9 @@
         fleet.run(0.3)
         name = busy_runner(fleet)
         runner = fleet.runners[name]
-        life = runner.named(name)
+        incarnation = runner.named(name)
         runner.crash()
-        fleet.workers[name].runner_deregistered(fleet.now, life)
+        fleet.workers[name].runner_deregistered(fleet.now, incarnation)
     fleet.run(3.0)
     assert fleet.answers[caller] == Completed()
 
--- a/testing/core/leased/test_crashevidence.py
+++ b/testing/core/leased/test_crashevidence.py
@@ -13,10 +13,10 @@
 AGAIN = 0.7
 TARGETS = 11
 
-Work = dict[str, tuple[str, int]]
+RunTimes = dict[str, tuple[str, int]]
 
 
-def silent(runner: str, work: Work, since: int = 1000) -> RunnerSilent:
+def silent(runner: str, work: RunTimes, since: int = 1000) -> RunnerSilent:
     """Return a silence; `work` gives the queue and run time in ms of each job's single task."""
     tasks = [TaskId(job, 0, 0) for job in work]
     queues = [queue for queue, _ in work.values()]
@@ -27,15 +27,15 @@
     return RunnerReturned(LossId(runner, since))
 
 
-def evidence_of(*losses: tuple[float, Work]) -> CrashEvidence:
+def evidence_of(*losses: tuple[float, RunTimes]) -> CrashEvidence:
     evidence_log = CrashEvidence(AGAIN)
     for number, (at, work) in enumerate(losses):
         assert evidence_log.learn(at, silent(f"i-{number}", work))
     return evidence_log
 
 
-FIRST: Work = {"bad": ("short", 10), "beside": ("long", 400), "other": ("usual", 90)}
-SECOND: Work = {"bad": ("short", 10), "sound": ("long", 300)}
+FIRST: RunTimes = {"bad": ("short", 10), "beside": ("long", 400), "other": ("usual", 90)}
+SECOND: RunTimes = {"bad": ("short", 10), "sound": ("long", 300)}
 
 
 def test_a_task_on_two_lost_runners_soon_after_its_starts_is_evidence() -> None:
@@ -44,7 +44,7 @@
     assert evidence_log.queues_with_repeat_losses({LossId("i-1", 1000)}) == {"short"}
     evidence = evidence_log.evidence(1.9, "short", 0.0, TARGETS, ())
     assert evidence is not None
-    assert (evidence.second_losses, evidence.lives) == (1, 2)
+    assert (evidence.repeat_losses, evidence.silent_runners) == (1, 2)
 
 
 @pytest.mark.parametrize("queue", ["long", "usual"])
@@ -72,7 +72,7 @@
 
 
 def test_a_queue_absent_from_the_other_losses_is_not_their_cause() -> None:
-    others: list[tuple[float, Work]] = [(2.5 + n, {f"m{n}": ("usual", 80)}) for n in range(3)]
+    others: list[tuple[float, RunTimes]] = [(2.5 + n, {f"m{n}": ("usual", 80)}) for n in range(3)]
     evidence_log = evidence_of((1.0, FIRST), (1.9, SECOND), *others)
     assert evidence_log.evidence(5.0, "short", 0.0, TARGETS, ()) is None
 
--- a/testing/core/leased/test_losses.py
+++ b/testing/core/leased/test_losses.py
@@ -122,8 +122,8 @@
     history.returned(1.5, LossId("i-1", 1000))
     other = LossHistory()
     other.learn(2.0, lost("i-1", TASK, OTHER))
-    for news in history.export(2.0):
-        other.apply(2.0, news)
+    for update in history.export(2.0):
+        other.apply(2.0, update)
     assert other.runners(TASK) == []
     assert history.export(1.5 + RETENTION_SECONDS) == []
 
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -20,7 +20,7 @@
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerLost, RunnerReturned, TaskId
 
-LIVES = 4
+INCARNATIONS = 4
 TASKS = [TaskId("job", 0, index) for index in range(3)]
 QUEUE = Queue("q", "host", "/q/", "svc")
 EXAMPLES = 500
@@ -63,7 +63,7 @@
 @st.composite
 def histories(draw: st.DrawFn) -> list[IncarnationHistory]:
     found = []
-    for number in range(LIVES):
+    for number in range(INCARNATIONS):
         moments = sorted(draw(st.sets(st.integers(0, 20), min_size=1, max_size=3)))
         at_work = st.lists(st.sampled_from(TASKS), unique=True, min_size=1)
         silences = [(moment, draw(at_work)) for moment in moments]
@@ -201,7 +201,7 @@
 ) -> None:
     _, messages = case
     halves = history_of(messages[:cut]), history_of(messages[cut:])
-    third = history_of(news for history in halves for news in history.export(1.0))
+    third = history_of(update for history in halves for update in history.export(1.0))
     assert state(third) == state(history_of(messages))
 
 
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -130,8 +130,8 @@
     targets = fleet("a", "a", "b")
     train(speeds, targets, 100)
     speeds.refresh(0.0, targets)
-    usual = sum(t.kind_factor for t in targets) / 3
-    assert speeds.typical_slowness("svc") == pytest.approx(usual)
+    typical = sum(t.kind_factor for t in targets) / 3
+    assert speeds.typical_slowness("svc") == pytest.approx(typical)
 
 
 def test_one_slow_runner_does_not_affect_its_kind() -> None:
@@ -365,7 +365,7 @@
     queue = Queue("q", "host", "/q/", "svc", stretch=1.6, latency=0.06)
     job = new_job(1, JobRequest("key", "spec", 8, Resources(1000, 10), 0.4, 3.0), queue, 0.0)
     fast, slow = fleet("a", "b")
-    usual = expected_wait(job, [fast, slow], [job])
+    typical = expected_wait(job, [fast, slow], [job])
     fast.kind_factor, slow.kind_factor = 0.7, 1.7
     # The two hosts work off 1.2 / 0.7 and 1.2 / 1.7 of what two typical ones do.
-    assert expected_wait(job, [fast, slow], [job]) == pytest.approx(usual / 1.21, rel=0.01)
+    assert expected_wait(job, [fast, slow], [job]) == pytest.approx(typical / 1.21, rel=0.01)
