--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
@@ -40,11 +40,11 @@
 
     def choose(self, now: float, targets: Iterable[TargetRecord], width: int) -> None:
         """Choose `width` times the usual share of the service's eligible targets."""
-        placed = [target.name for target in targets if self._is_eligible(now, target)]
-        self._eligible_once.update(placed)
-        self.eligible_count = len(placed)
+        eligible = [target.name for target in targets if self._is_eligible(now, target)]
+        self._eligible_once.update(eligible)
+        self.eligible_count = len(eligible)
         count = width * max(1, round(TARGET_SHARE * self.eligible_count))
-        self.members = frozenset(sorted(placed, key=self._rank)[:count])
+        self.members = frozenset(sorted(eligible, key=self._rank)[:count])
 
     def is_too_wide(self) -> bool:
         """Whether it holds at least half of the targets, too many to protect other queues."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -60,7 +60,7 @@
 
     def __init__(self, rng: Random, link_mbps: float = LINK_MBPS) -> None:
         self._rng = rng
-        self._rate = link_mbps * BYTES_PER_MEGABIT * LINK_SHARE
+        self._bytes_per_second = link_mbps * BYTES_PER_MEGABIT * LINK_SHARE
         self._version = 0
         self._versions: dict[str, int] = {}
         """By peer, the version that it last reported."""
@@ -97,7 +97,7 @@
 
     def copy_sent(self, now: float, size: int) -> None:
         """Record that a copy of `size` bytes was sent."""
-        self._idle_at = now + size / self._rate
+        self._idle_at = now + size / self._bytes_per_second
 
     def peer_left(self, peer: str) -> None:
         """Drop a peer whose connection has closed."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -28,7 +28,7 @@
 """Longest `Retry-After` for a refused job, in seconds."""
 
 EXPLAINED_RATIO = 10.0
-"""Factor between two queues' chances from which the lower one explains the other's losses.
+"""Ratio of two queues' probabilities from which the lower one explains the other's losses.
 
 Two queues that both crash runners don't differ that much. A queue whose tasks only ran beside the
 crashing ones does.
@@ -41,7 +41,7 @@
 """
 
 MAX_LISTED = 16
-"""TargetSource or runners that one log line lists."""
+"""Targets or runners listed in one log line."""
 
 
 TargetSource = Callable[[], Iterable[TargetRecord]]
@@ -229,7 +229,7 @@
         new = self._evidence_log.take_new_evidence(now)
         if not new:
             return []
-        for queue in set[str]().union(*map(self._evidence_log.queues, new)):
+        for queue in set[str]().union(*map(self._evidence_log.queues_on, new)):
             if queue in self._confined:
                 self._confined[queue].lost(now)
         return self._confine(now, targets, self._evidence_log.queues_with_repeat_losses(new))
@@ -243,7 +243,7 @@
             if not discounted:
                 continue
             known = confined.bulkhead.eligible_count
-            left = self._evidence_log.evidence(now, queue, confined.since, known, ())
+            left = self._evidence_log.evidence_against(now, queue, confined.since, known, ())
             logs.append(_retracted_log(queue, returned, discounted, left))
             if left is not None:
                 confined.evidence = left
@@ -291,7 +291,7 @@
     def _evidence(self, now: float, queue: str, targets: int) -> Evidence | None:
         """Return the evidence against a queue that confined queues don't explain better."""
         since = self._evidence_since.get(queue, float("-inf"))
-        evidence = self._evidence_log.evidence(now, queue, since, targets, ())
+        evidence = self._evidence_log.evidence_against(now, queue, since, targets, ())
         if evidence is None:
             return None
         worse = [
@@ -299,7 +299,7 @@
             for q, c in self._confined.items()
             if EXPLAINED_RATIO * c.evidence.probability <= evidence.probability
         ]
-        return self._evidence_log.evidence(now, queue, since, targets, worse)
+        return self._evidence_log.evidence_against(now, queue, since, targets, worse)
 
     def _release_explained(self, now: float, queue: str) -> list[Log]:
         """Release the queues whose losses the newly confined one explains."""
@@ -309,7 +309,7 @@
             if other == queue or confined.evidence.probability < EXPLAINED_RATIO * worst:
                 continue
             known = confined.bulkhead.eligible_count
-            if not self._evidence_log.evidence(now, other, confined.since, known, (queue,)):
+            if not self._evidence_log.evidence_against(now, other, confined.since, known, (queue,)):
                 self._confined[queue].cleared[other] = confined.since
                 logs.append(self._release(now, other, f"explained_by_{queue}"))
         return logs
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -171,7 +171,7 @@
             if any(self._loss_counts[task] > 1 for task in tasks)
         }
 
-    def queues(self, loss: LossId) -> set[str]:
+    def queues_on(self, loss: LossId) -> set[str]:
         """Return the queues with tasks on a runner that fell silent."""
         return set(self._silences[loss].work)
 
@@ -183,7 +183,7 @@
         """Whether a task was on a runner that fell silent."""
         return task in self._loss_counts
 
-    def evidence(
+    def evidence_against(
         self, now: float, queue: str, since: float, targets: int, explained: Collection[str]
     ) -> Evidence | None:
         """Return the evidence against a queue from losses after `since`; None if it is too weak.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -51,7 +51,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class _Return:
-    """The last return of an incarnation: its time, and the start of the silence that it ended."""
+    """The last return of an incarnation: when it was learned, and when that silence began."""
 
     learned_at: float
     silent_ms: int
@@ -121,18 +121,18 @@
         return True
 
     def export(self, now: float) -> list[LossUpdate]:
-        """Return all losses, to send on, each with the time since it was learned.
+        """Return all losses for other processes, each with the time since it was learned.
 
         Returns are included, as a receiver that knows only the loss would count it.
         """
         self.expire(now)
-        answered = [
+        returns = [
             RunnerReturned(LossId.of(incarnation, last.silent_ms))
             for incarnation, last in self._returns.items()
         ]
         known = self._losses.values()
         return [
-            *answered,
+            *returns,
             *(replace(each.lost, ago_ms=round((now - each.kept_since) * 1000)) for each in known),
         ]
 
@@ -141,8 +141,8 @@
         for incarnation, known in list(self._losses.items()):
             if now >= known.kept_since + RETENTION_SECONDS:
                 self._forget(incarnation)
-        for incarnation, answered in list(self._returns.items()):
-            if now < answered.learned_at + RETENTION_SECONDS:
+        for incarnation, returns in list(self._returns.items()):
+            if now < returns.learned_at + RETENTION_SECONDS:
                 break
             del self._returns[incarnation]
 
@@ -177,8 +177,8 @@
 
     def _has_returned(self, loss: LossId) -> bool:
         """Whether the incarnation is known to have answered since that loss."""
-        answered = self._returns.get(loss.incarnation)
-        return answered is not None and loss.silent_ms <= answered.silent_ms
+        returns = self._returns.get(loss.incarnation)
+        return returns is not None and loss.silent_ms <= returns.silent_ms
 
     def _forget(self, incarnation: RunnerIncarnation) -> None:
         for task in self._losses.pop(incarnation).lost.tasks:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -322,8 +322,10 @@
     def _adopt(self, message: KindSpeed) -> bool:
         kind = (message.service, message.kind)
         known = self._kinds.get(kind)
-        ends = min(float(message.ends), MAX_WEIGHT)
-        if not _is_plausible(message) or ends <= ADOPTION_RATIO * (known.weight if known else 0.0):
+        completions = min(float(message.ends), MAX_WEIGHT)
+        if not _is_plausible(message) or completions <= ADOPTION_RATIO * (
+            known.weight if known else 0.0
+        ):
             return False
         if known is not None and known.own_weight >= MIN_PROVEN_COMPLETIONS:
             return False
@@ -333,7 +335,7 @@
             known = self._evidence(kind)
         slowness = _clamped(message.slowness_thousandths / 1000, MAX_SHARED_FACTOR)
         factor = slowness * self.typical_slowness(message.service)
-        known.weight = known.compared = min(ends / ADOPTION_RATIO, MIN_PROVEN_COMPLETIONS)
+        known.weight = known.compared = min(completions / ADOPTION_RATIO, MIN_PROVEN_COMPLETIONS)
         raw_factor = factor ** ((known.weight + PRIOR_WEIGHT) / known.weight)
         known.raw_factor = known.shared = _clamped(raw_factor, MAX_FACTOR)
         known.own_weight = known.shared_weight = 0.0
@@ -347,7 +349,7 @@
     def _evidence(self, kind: Kind) -> _Evidence:
         """Return the evidence on a kind, dropping another kind's to make room for a new one.
 
-        Kinds without a target are dropped first, then those with the least evidence of its own.
+        Kinds without a target are dropped first, then those with the fewest own completions.
         """
         known = self._kinds.get(kind)
         if known is None:
@@ -394,5 +396,5 @@
 
 def _is_plausible(message: KindSpeed) -> bool:
     """Whether another entry's evidence is plausible; its size is limited when adopted."""
-    named = max(len(message.service), len(message.kind)) <= MAX_NAME_LENGTH
-    return named and message.slowness_thousandths > 0 and message.ends > 0
+    has_short_names = max(len(message.service), len(message.kind)) <= MAX_NAME_LENGTH
+    return has_short_names and message.slowness_thousandths > 0 and message.ends > 0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -90,11 +90,11 @@
 
     def of(self, queue: str) -> TaskLengthModel:
         """Return a queue's model; a new one if there is none."""
-        lengths = self._queues.pop(queue, None) or TaskLengthModel()
-        self._queues[queue] = lengths
+        model = self._queues.pop(queue, None) or TaskLengthModel()
+        self._queues[queue] = model
         if len(self._queues) > MAX_QUEUES:
             del self._queues[next(iter(self._queues))]
-        return lengths
+        return model
 
 
 def _regressors(estimate: float, deadline: float) -> tuple[float, float, float]:
