--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -109,9 +109,9 @@
 
     def _is_new_incarnation(self, entry: EntryAddress) -> bool:
         seen = self._incarnations.setdefault(entry.name, deque(maxlen=MAX_INCARNATIONS))
-        if not entry.life or entry.life in seen:
+        if not entry.incarnation or entry.incarnation in seen:
             return False
-        seen.append(entry.life)
+        seen.append(entry.incarnation)
         return True
 
     def _rank(self, entry: EntryAddress) -> int:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -43,7 +43,7 @@
 class _Entry:
     """A loss, when its sender learned of it, and from when its retention counts."""
 
-    at: float
+    learned_at: float
     lost: RunnerLost
     kept_since: float
 
@@ -51,9 +51,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class _Return:
-    """The last return of an incarnation: its time, and the start of the silence that it ended."""
+    """The last return of an incarnation: when it was learned, and when that silence began."""
 
-    at: float
+    learned_at: float
     silent_ms: int
 
 
@@ -71,11 +71,11 @@
         self._by_task: dict[TaskId, list[RunnerIncarnation]] = {}
         self._returns: dict[RunnerIncarnation, _Return] = {}
 
-    def apply(self, now: float, news: LossUpdate) -> bool:
+    def apply(self, now: float, update: LossUpdate) -> bool:
         """Process a loss message; return whether it was new. `RunnerSilent` is ignored."""
-        if isinstance(news, RunnerReturned):
-            return self.returned(now, news.loss)
-        return isinstance(news, RunnerLost) and self.learn(now, news)
+        if isinstance(update, RunnerReturned):
+            return self.returned(now, update.loss)
+        return isinstance(update, RunnerLost) and self.learn(now, update)
 
     def learn(self, now: float, lost: RunnerLost) -> bool:
         """Record a loss as of the time its sender learned of it; return whether it was new.
@@ -94,7 +94,7 @@
             if silent_ms == known.lost.loss.silent_ms:
                 if set(lost.ended) <= set(known.lost.ended):
                     return False
-                at = known.at
+                at = known.learned_at
             self._forget(incarnation)
         self._losses[incarnation] = _Entry(at, lost, at)
         for task in lost.tasks:
@@ -121,18 +121,18 @@
         return True
 
     def export(self, now: float) -> list[LossUpdate]:
-        """Return all losses, to send on, each with the time since it was learned.
+        """Return all losses for other processes, each with the time since it was learned.
 
         Returns are included, as a receiver that knows only the loss would count it.
         """
         self.expire(now)
-        answered = [
+        returns = [
             RunnerReturned(LossId.of(incarnation, last.silent_ms))
             for incarnation, last in self._returns.items()
         ]
         known = self._losses.values()
         return [
-            *answered,
+            *returns,
             *(replace(each.lost, ago_ms=round((now - each.kept_since) * 1000)) for each in known),
         ]
 
@@ -141,8 +141,8 @@
         for incarnation, known in list(self._losses.items()):
             if now >= known.kept_since + RETENTION_SECONDS:
                 self._forget(incarnation)
-        for incarnation, answered in list(self._returns.items()):
-            if now < answered.at + RETENTION_SECONDS:
+        for incarnation, returns in list(self._returns.items()):
+            if now < returns.learned_at + RETENTION_SECONDS:
                 break
             del self._returns[incarnation]
 
@@ -166,19 +166,19 @@
 
     def was_correlated(self, incarnation: RunnerIncarnation, job: str) -> bool:
         """Whether an incarnation was lost along with others that ran no task of a job."""
-        at = self._losses[incarnation].at
+        at = self._losses[incarnation].learned_at
         others = [
             each
             for other, each in self._losses.items()
-            if other != incarnation and abs(each.at - at) <= CORRELATION_SECONDS
+            if other != incarnation and abs(each.learned_at - at) <= CORRELATION_SECONDS
             if not any(task.job == job for task in each.lost.tasks)
         ]
         return len(others) >= CORRELATED_LOSSES
 
     def _has_returned(self, loss: LossId) -> bool:
         """Whether the incarnation is known to have answered since that loss."""
-        answered = self._returns.get(loss.incarnation)
-        return answered is not None and loss.silent_ms <= answered.silent_ms
+        returns = self._returns.get(loss.incarnation)
+        return returns is not None and loss.silent_ms <= returns.silent_ms
 
     def _forget(self, incarnation: RunnerIncarnation) -> None:
         for task in self._losses.pop(incarnation).lost.tasks:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -308,9 +308,9 @@
             return []
         return self._ended(run, End.LOST, "runner_replaced")
 
-    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_incarnation: bool = False) -> list[Effect]:
         """Handle a poll without an answer, or one that another id answered (`other_life`)."""
-        if other_life:
+        if other_incarnation:
             return self._runner_replaced(now, None, answered=self.clean)
         effects: list[Effect] = []
         self.losses.poll_failed(now)
@@ -340,7 +340,7 @@
                 return self._no_room(run)
             case StartAnswer.UNKNOWN:
                 return self._start_unanswered(now, run)
-            case StartAnswer.OTHER_LIFE if not run.is_orphaned:
+            case StartAnswer.OTHER_INCARNATION if not run.is_orphaned:
                 return self._runner_replaced(now, None)
             case StartAnswer.UNHEALTHY:
                 self.health.mark_sick(now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -134,7 +134,7 @@
     """Completions that were compared with others of their job, or came from another entry."""
     shared: float = 1.0
     """The factor that was shared last."""
-    shared_own: float = 0.0
+    shared_weight: float = 0.0
     idle_seconds: float = 0.0
     """Seconds since the last completion."""
 
@@ -174,7 +174,7 @@
         if self.own_weight < MIN_SHARED_COMPLETIONS:
             return False
         changed = not 1 / SHARED_CHANGE <= self.raw_factor / self.shared <= SHARED_CHANGE
-        return changed or self.own_weight > SHARED_GROWTH * self.shared_own
+        return changed or self.own_weight > SHARED_GROWTH * self.shared_weight
 
 
 @final
@@ -307,23 +307,25 @@
         kinds = []
         for kind, evidence in self._kinds.items():
             if evidence.is_unshared():
-                evidence.shared, evidence.shared_own = evidence.raw_factor, evidence.own_weight
+                evidence.shared, evidence.shared_weight = evidence.raw_factor, evidence.own_weight
                 kinds.append(self._message(kind, evidence))
         return SpeedUpdate(kinds) if kinds else None
 
-    def merge(self, news: SpeedUpdate) -> list[KindSpeed]:
+    def merge(self, update: SpeedUpdate) -> list[KindSpeed]:
         """Adopt another entry's evidence where it is much stronger; return what was adopted.
 
         Adopted evidence counts as a few completions, so that own ones soon outweigh it, and is not
         shared again, so that nothing comes back as another's.
         """
-        return [message for message in news.kinds[:MAX_KINDS] if self._adopt(message)]
+        return [message for message in update.kinds[:MAX_KINDS] if self._adopt(message)]
 
     def _adopt(self, message: KindSpeed) -> bool:
         kind = (message.service, message.kind)
         known = self._kinds.get(kind)
-        ends = min(float(message.ends), MAX_WEIGHT)
-        if not _is_plausible(message) or ends <= ADOPTION_RATIO * (known.weight if known else 0.0):
+        completions = min(float(message.ends), MAX_WEIGHT)
+        if not _is_plausible(message) or completions <= ADOPTION_RATIO * (
+            known.weight if known else 0.0
+        ):
             return False
         if known is not None and known.own_weight >= MIN_PROVEN_COMPLETIONS:
             return False
@@ -333,10 +335,10 @@
             known = self._evidence(kind)
         slowness = _clamped(message.slowness_thousandths / 1000, MAX_SHARED_FACTOR)
         factor = slowness * self.typical_slowness(message.service)
-        known.weight = known.compared = min(ends / ADOPTION_RATIO, MIN_PROVEN_COMPLETIONS)
+        known.weight = known.compared = min(completions / ADOPTION_RATIO, MIN_PROVEN_COMPLETIONS)
         raw_factor = factor ** ((known.weight + PRIOR_WEIGHT) / known.weight)
         known.raw_factor = known.shared = _clamped(raw_factor, MAX_FACTOR)
-        known.own_weight = known.shared_own = 0.0
+        known.own_weight = known.shared_weight = 0.0
         return True
 
     def _message(self, kind: Kind, evidence: _Evidence) -> KindSpeed:
@@ -347,7 +349,7 @@
     def _evidence(self, kind: Kind) -> _Evidence:
         """Return the evidence on a kind, dropping another kind's to make room for a new one.
 
-        Kinds without a target are dropped first, then those with the least evidence of its own.
+        Kinds without a target are dropped first, then those with the fewest own completions.
         """
         known = self._kinds.get(kind)
         if known is None:
@@ -394,5 +396,5 @@
 
 def _is_plausible(message: KindSpeed) -> bool:
     """Whether another entry's evidence is plausible; its size is limited when adopted."""
-    named = max(len(message.service), len(message.kind)) <= MAX_NAME_LENGTH
-    return named and message.slowness_thousandths > 0 and message.ends > 0
+    has_short_names = max(len(message.service), len(message.kind)) <= MAX_NAME_LENGTH
+    return has_short_names and message.slowness_thousandths > 0 and message.ends > 0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -27,7 +27,7 @@
 
     name: str
     hall: str
-    life: str
+    incarnation: str
     session: Session | None = None
     connected: bool = False
     last_received: float = 0.0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -64,8 +64,8 @@
         offset, slope, deadline_slope = self._fitted()
         length = offset + slope * estimate + deadline_slope * deadline
         if length < RESENT_RATIO * estimate and deadline_slope > MIN_DEADLINE_SLOPE:
-            usual = (estimate - offset - slope * estimate) / deadline_slope
-            return JobPrediction(estimate, max(0.0, usual - deadline))
+            typical_deadline = (estimate - offset - slope * estimate) / deadline_slope
+            return JobPrediction(estimate, max(0.0, typical_deadline - deadline))
         least, most = estimate / MAX_RATIO, estimate * MAX_RATIO
         return JobPrediction(min(most, max(least, length)))
 
@@ -90,11 +90,11 @@
 
     def of(self, queue: str) -> TaskLengthModel:
         """Return a queue's model; a new one if there is none."""
-        lengths = self._queues.pop(queue, None) or TaskLengthModel()
-        self._queues[queue] = lengths
+        model = self._queues.pop(queue, None) or TaskLengthModel()
+        self._queues[queue] = model
         if len(self._queues) > MAX_QUEUES:
             del self._queues[next(iter(self._queues))]
-        return lengths
+        return model
 
 
 def _regressors(estimate: float, deadline: float) -> tuple[float, float, float]:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -142,17 +142,17 @@
         """
         self._collect(now)
         link = self._links.setdefault(hello.name, EntryLink())
-        if link.has_ended(hello.life, hello.session):
+        if link.has_ended(hello.incarnation, hello.session):
             return [note("session_over", entry=hello.name, session=hello.session)]
         session = link.session
-        if session is not None and link.is_current(hello.life, hello.session):
+        if session is not None and link.is_current(hello.incarnation, hello.session):
             session.resume(hello.received)
             link.connected(now)
             return [note("session_resumed", entry=hello.name)]
         effects = self._end_session(now, hello.name, "replaced") if session else []
         session = Session(hello.session, int(greeted_at * 1000))
         link.phase = len(self.session_names()) % HEARTBEAT_PHASES / HEARTBEAT_PHASES
-        link.open(now, hello.life, session)
+        link.open(now, hello.incarnation, session)
         for loss in self._losses.export(now):
             session.send(loss)
         fields: dict[str, str | int | float] = {"entry": hello.name, "session": hello.session}
@@ -245,9 +245,9 @@
         """Handle the runner's lists of running and finished runs."""
         return self._control.poll_answered(now, answer)
 
-    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_incarnation: bool = False) -> list[Effect]:
         """Handle a poll without an answer, or one that another incarnation answered."""
-        return self._control.poll_failed(now, other_life=other_life)
+        return self._control.poll_failed(now, other_incarnation=other_incarnation)
 
     def may_send(self, now: float, id_: RunId, entry: str) -> bool:
         """Whether an order to start may still be sent; to be checked right before sending it.
--- a/packages/paddleshunt-core/src/paddleshunt_core/views.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/views.py
@@ -22,7 +22,7 @@
 PEERS_FAR = 8
 """Targets of other sites that a target is told of."""
 
-ENDED_TOLD = 16
+ENDED_SENT = 16
 """Incarnations that ended last, named in every whole view and every exchange."""
 
 
@@ -57,7 +57,7 @@
             heartbeat_ms=int(self._members.heartbeat_seconds * 1000),
             share=share_of(allotment, member.incarnation) if allotment else None,
             snapshot=picture if whole else None,
-            ended=self._members.ended[-ENDED_TOLD:] if whole else [],
+            ended=self._members.ended[-ENDED_SENT:] if whole else [],
         )
         return Send(member.incarnation, member.heartbeat.address, view)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -307,7 +307,7 @@
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Record an entry that was dialled."""
-        self.record_entry(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
+        self.record_entry(EntryAddress(hello.name, hello.address, hello.incarnation, hello.hall))
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Process a frame of another entry, over either side's connection."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -300,7 +300,7 @@
         now = self._now()
         if hello.entry:
             self._peers.record_entry(
-                EntryAddress(hello.name, hello.address, hello.life, hello.hall)
+                EntryAddress(hello.name, hello.address, hello.incarnation, hello.hall)
             )
             link.send(self._hello(0, 0))
             return
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
@@ -14,7 +14,7 @@
 
 def entry_problem(entry: EntryAddress) -> str:
     """Return why an entry can't be dialled or named; empty if it can."""
-    if not 0 < len(entry.name) <= MAX_NAME_LENGTH or len(entry.life) > MAX_NAME_LENGTH:
+    if not 0 < len(entry.name) <= MAX_NAME_LENGTH or len(entry.incarnation) > MAX_NAME_LENGTH:
         return "name or life too long, or no name"
     try:
         split_address(entry.address)
--- a/testing/core/leased/test_lost_polls.py
+++ b/testing/core/leased/test_lost_polls.py
@@ -40,9 +40,9 @@
     """It is started right after a look without an answer, which the runner outlived."""
     poll_failed = Worker.poll_failed
 
-    def noted_later(self: Worker, now: float, *, other_life: bool = False) -> list[Effect]:
+    def noted_later(self: Worker, now: float, *, other_incarnation: bool = False) -> list[Effect]:
         # A look whose answer is lost is noted after what was ordered while it was awaited.
-        return poll_failed(self, now + STEP / 2, other_life=other_life)
+        return poll_failed(self, now + STEP / 2, other_incarnation=other_incarnation)
 
     monkeypatch.setattr(Worker, "poll_failed", noted_later)
     fleet = LooksLost(entries=2, targets=12)
