--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -159,7 +159,7 @@
         self.leaving = True
 
     def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
-        """Adopt the runner's status, maybe a new incarnation's; ignore late or contradicting ones."""
+        """Adopt the status in a heartbeat, unless it is late or contradicts earlier ones."""
         if self.incarnations.classify(status) is HeartbeatClass.LATE:
             self.incarnations.note_late(status)
             return [late_heartbeat_log(status, self.incarnations.current)]
--- a/testing/core/leased/test_foreignruns.py
+++ b/testing/core/leased/test_foreignruns.py
@@ -1,4 +1,4 @@
-"""Runs that this life of a target has not ordered: when it knows that none is there."""
+"""Tests of when a target knows that no foreign runs are left on its runner."""
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
@@ -10,8 +10,8 @@
 TIMES = lease_times(Bounds())
 RUN = RunId(TaskId("job", 0, 0), 1)
 LISTED = [RunningRun(RUN, 5)]
-LONGEST = TIMES.strayed + TIMES.overrun
-"""Seconds for which what an earlier life has ordered may be at work."""
+MAX_FOREIGN_SECONDS = TIMES.strayed + TIMES.overrun
+"""Seconds for which runs ordered by an earlier process may be running."""
 
 
 @pytest.fixture
@@ -24,19 +24,19 @@
     return ForeignRuns(TIMES, lease)
 
 
-def test_a_full_list_without_any_shows_that_none_is_there(foreign: ForeignRuns) -> None:
+def test_complete_list_without_any_rules_out_foreign_runs(foreign: ForeignRuns) -> None:
     foreign.reset(10.0)
     foreign.update(PollAnswer(10.1, [], []), {})
     assert foreign.clean
 
 
-def test_a_list_from_before_the_life_was_met_shows_nothing(foreign: ForeignRuns) -> None:
+def test_list_from_before_the_reset_shows_nothing(foreign: ForeignRuns) -> None:
     foreign.reset(10.0)
     foreign.update(PollAnswer(9.9, [], []), {})
     assert not foreign.clean
 
 
-def test_one_that_is_listed_is_foreign_until_it_has_ended(foreign: ForeignRuns) -> None:
+def test_listed_run_is_foreign_until_it_has_ended(foreign: ForeignRuns) -> None:
     foreign.update(PollAnswer(1.0, LISTED, []), {})
     assert list(foreign) == [RUN]
     foreign.update(PollAnswer(1.1, LISTED, [FinishedRun(1, RUN, RunEnd.STOPPED)]), {})
@@ -44,29 +44,29 @@
     assert foreign.clean
 
 
-def test_a_run_of_this_life_is_not_foreign(foreign: ForeignRuns) -> None:
+def test_run_ordered_by_this_process_is_not_foreign(foreign: ForeignRuns) -> None:
     foreign.update(PollAnswer(1.0, LISTED, []), {RUN})
     assert not foreign
 
 
-@pytest.mark.parametrize("met", [None, 1.0], ids=["at-the-first-look", "when-told"])
-def test_rows_that_cannot_be_read_count_as_gone_once_all_leases_are_over(
-    foreign: ForeignRuns, met: float | None
+@pytest.mark.parametrize("known_since", [None, 1.0], ids=["first-poll", "reset"])
+def test_unreadable_rows_count_as_gone_once_all_leases_have_ended(
+    foreign: ForeignRuns, known_since: float | None
 ) -> None:
-    if met is not None:
-        foreign.reset(met)
-    for sent in (1.0, 1.0 + LONGEST):
+    if known_since is not None:
+        foreign.reset(known_since)
+    for sent in (1.0, 1.0 + MAX_FOREIGN_SECONDS):
         foreign.update(PollAnswer(sent, [], [], partial=True), {})
         assert not foreign.clean
-    foreign.update(PollAnswer(1.01 + LONGEST, [], [], partial=True), {})
+    foreign.update(PollAnswer(1.01 + MAX_FOREIGN_SECONDS, [], [], partial=True), {})
     assert foreign.clean
 
 
-def test_a_lease_that_was_granted_since_keeps_unreadable_rows_alive(
+def test_lease_granted_since_keeps_unreadable_rows_alive(
     foreign: ForeignRuns, lease: RunnerLease
 ) -> None:
     foreign.reset(1.0)
-    late = 1.1 + LONGEST
+    late = 1.1 + MAX_FOREIGN_SECONDS
     lease.grant(late)
     foreign.update(PollAnswer(late, [], [], partial=True), {})
     assert not foreign.clean
@@ -74,22 +74,22 @@
     assert foreign.clean
 
 
-def test_a_host_that_was_suspended_gives_them_as_much_longer(foreign: ForeignRuns) -> None:
+def test_suspension_of_the_host_extends_the_time_for_unreadable_rows(foreign: ForeignRuns) -> None:
     foreign.reset(1.0)
     foreign.clock_paused(3.0)
-    foreign.update(PollAnswer(2.0 + LONGEST, [], [], partial=True), {})
+    foreign.update(PollAnswer(2.0 + MAX_FOREIGN_SECONDS, [], [], partial=True), {})
     assert not foreign.clean
 
 
-def test_a_host_that_was_suspended_is_believed_its_next_full_list(foreign: ForeignRuns) -> None:
+def test_complete_list_after_a_suspension_rules_out_foreign_runs(foreign: ForeignRuns) -> None:
     foreign.reset(1.0)
     foreign.clock_paused(3.0)
     foreign.update(PollAnswer(1.1, [], []), {})
     assert foreign.clean
 
 
-def test_a_readable_foreign_run_is_no_matter_of_time(foreign: ForeignRuns) -> None:
+def test_listed_foreign_run_does_not_expire(foreign: ForeignRuns) -> None:
     foreign.reset(1.0)
-    foreign.update(PollAnswer(5.0 + LONGEST, LISTED, [], partial=True), {})
+    foreign.update(PollAnswer(5.0 + MAX_FOREIGN_SECONDS, LISTED, [], partial=True), {})
     assert foreign
     assert not foreign.clean
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Which life of a runner a heartbeat speaks for."""
+"""Tests of which incarnation of a runner a heartbeat belongs to."""
 
 from dataclasses import replace
 
@@ -25,19 +25,19 @@
         (replace(FIRST, sequence=4), HeartbeatClass.LATE),
         (NEXT, HeartbeatClass.UNCONFIRMED),
     ],
-    ids=["later", "not_numbered", "same", "earlier", "other_life"],
+    ids=["later", "not_numbered", "same", "earlier", "other_incarnation"],
 )
-def test_what_an_account_is_worth_while_a_life_is_known(
+def test_classification_of_heartbeats_while_an_incarnation_is_current(
     status: RunnerStatus, expected: HeartbeatClass
 ) -> None:
-    lives = Incarnations()
-    assert lives.classify(FIRST) is HeartbeatClass.NEW
-    lives.follow(FIRST)
-    assert lives.classify(status) is expected
+    incarnations = Incarnations()
+    assert incarnations.classify(FIRST) is HeartbeatClass.NEW
+    incarnations.follow(FIRST)
+    assert incarnations.classify(status) is expected
 
 
-def told(*sequences: int) -> list[int]:
-    """Return which accounts of a life are followed that has said 5."""
+def accepted_sequences(*sequences: int) -> list[int]:
+    """Return the sequence numbers that are accepted after heartbeat 5."""
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, FIRST)
     followed: list[int] = []
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "followed"),
+    ("sequences", "followed"),
     [
         ([2**53, 6, 7], [6, 7]),
         ([2**53, 6, 2**53, 7], [6, 7]),
@@ -63,55 +63,55 @@
     ],
     ids=["one", "two", "same", "goes-on", "goes-back", "wide-steps", "near", "late-between"],
 )
-def test_a_number_far_ahead_counts_once_the_next_goes_on_from_it(
-    said: list[int], followed: list[int]
+def test_sequence_far_ahead_is_accepted_once_the_next_continues_from_it(
+    sequences: list[int], followed: list[int]
 ) -> None:
-    assert told(*said) == followed
+    assert accepted_sequences(*sequences) == followed
 
 
 @pytest.mark.parametrize("how", ["replaced", "left", "denied"])
-def test_a_life_that_has_ended_is_never_followed_again(how: str) -> None:
-    lives = Incarnations()
-    lives.follow(FIRST)
+def test_ended_incarnation_is_never_accepted_again(how: str) -> None:
+    incarnations = Incarnations()
+    incarnations.follow(FIRST)
     if how == "replaced":
-        lives.follow(NEXT)
+        incarnations.follow(NEXT)
     elif how == "left":
-        lives.end_current()
+        incarnations.end_current()
     else:
-        lives.mark_ended(FIRST.runner)
-    assert lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
+        incarnations.mark_ended(FIRST.runner)
+    assert incarnations.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
 
 
-def test_a_life_that_is_denied_is_not_asked_about_again_until_the_followed_one_has_ended() -> None:
-    """It may register while the one before drains; one that has ended is found out by a look."""
-    lives = Incarnations()
-    lives.follow(FIRST)
-    lives.deny(NEXT.runner)
-    assert lives.classify(replace(NEXT, sequence=2)) is HeartbeatClass.LATE
-    lives.end_current()
-    assert lives.classify(replace(NEXT, sequence=3)) is HeartbeatClass.NEW
-    assert lives.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
+def test_denied_incarnation_is_late_until_the_current_one_has_ended() -> None:
+    """It may register while the current one drains, whose end is detected by polls."""
+    incarnations = Incarnations()
+    incarnations.follow(FIRST)
+    incarnations.deny(NEXT.runner)
+    assert incarnations.classify(replace(NEXT, sequence=2)) is HeartbeatClass.LATE
+    incarnations.end_current()
+    assert incarnations.classify(replace(NEXT, sequence=3)) is HeartbeatClass.NEW
+    assert incarnations.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
 
 
 @pytest.mark.parametrize(
-    ("looked_at", "expected"),
+    ("answered", "expected"),
     [(False, HeartbeatClass.NEW), (True, HeartbeatClass.LATE)],
     ids=["never", "answered"],
 )
-def test_a_life_that_never_answered_may_be_yet_to_come(
-    *, looked_at: bool, expected: HeartbeatClass
+def test_incarnation_that_never_answered_may_start_later(
+    *, answered: bool, expected: HeartbeatClass
 ) -> None:
-    """It registered before it had its address: the look found the life before."""
+    """It registered before it had its address, so the poll reached the previous incarnation."""
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, FIRST)
-    if looked_at:
+    if answered:
         found.poll_answered(1.1, PollAnswer(1.05, [], []))
     found.poll_failed(1.2, other_life=True)
     assert found.incarnations.classify(replace(FIRST, sequence=6)) is expected
 
 
 def control() -> RunnerControl:
-    """Return the control of a runner that is in its second life."""
+    """Return the control of a runner in its second incarnation."""
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, FIRST)
     found.heartbeat_received(2.0, NEXT)
@@ -126,28 +126,33 @@
         replace(NEXT, leaving=True, sequence=1),
         replace(NEXT, capacity=Resources(1, 1), sequence=1),
     ],
-    ids=["earlier_life", "earlier_life_leaving", "earlier_leaving", "earlier_room"],
+    ids=[
+        "earlier_incarnation",
+        "earlier_incarnation_leaving",
+        "earlier_leaving",
+        "earlier_capacity",
+    ],
 )
-def test_a_late_account_changes_nothing(late: RunnerStatus) -> None:
+def test_late_heartbeat_changes_nothing(late: RunnerStatus) -> None:
     found = control()
     found.heartbeat_received(3.0, late)
     assert found.status == NEXT
     assert found.state() is RunnerState.READY
 
 
-def test_a_late_word_of_an_earlier_lifes_end_changes_nothing() -> None:
+def test_late_deregistration_of_an_earlier_incarnation_changes_nothing() -> None:
     found = control()
     assert found.runner_deregistered(3.0, FIRST.runner) == []
     assert found.status == NEXT
 
 
 def born(start: int, sequence: int = 1) -> RunnerStatus:
-    """Return an account of a life of `FIRST`'s id that tells its start."""
+    """Return a status with the id of `FIRST` and this start time."""
     return replace(FIRST, runner=RunnerIncarnation(FIRST.runner.id, start), sequence=sequence)
 
 
 def known(start: int) -> RunnerControl:
-    """Return the control of a runner whose life has said 9 and has answered a look."""
+    """Return the control of a runner that has sent heartbeat 9 and answered a poll."""
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, born(start, 9))
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=start))
@@ -155,17 +160,17 @@
 
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
-def test_another_life_under_the_same_id_has_to_be_confirmed(start: int) -> None:
+def test_other_incarnation_with_the_same_id_is_unconfirmed(start: int) -> None:
     assert known(5000).incarnations.classify(born(start)) is HeartbeatClass.UNCONFIRMED
 
 
-def test_a_word_that_tells_no_start_goes_by_its_id() -> None:
+def test_heartbeat_without_a_start_time_is_matched_by_its_id() -> None:
     assert known(5000).incarnations.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
     assert known(5000).incarnations.classify(replace(FIRST, sequence=10)) is HeartbeatClass.CURRENT
 
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
-def test_the_lists_decide_which_life_of_an_id_is_there(start: int) -> None:
+def test_poll_answer_decides_which_incarnation_of_an_id_is_current(start: int) -> None:
     found = known(5000)
     found.poll_answered(2.1, PollAnswer(2.0, [], [], born=start))
     assert found.incarnations.current == RunnerIncarnation("i-1", start)
@@ -177,7 +182,7 @@
     assert found.state() is RunnerState.READY
 
 
-def test_ends_are_acknowledged_anew_in_each_life() -> None:
+def test_ends_are_acknowledged_anew_in_each_incarnation() -> None:
     found = known(5000)
     found.poll_answered(1.3, PollAnswer(1.2, [], [], listed=57, born=5000))
     assert found.next_poll(1.4, renew=False).last_seen == 57
@@ -185,8 +190,8 @@
     assert found.next_poll(2.2, renew=False).last_seen == 0
 
 
-def test_a_life_heard_of_before_the_one_that_answers_may_be_yet_to_come() -> None:
-    """The heartbeat of the next life may come before the last one's answer to a look is read."""
+def test_incarnation_known_before_the_one_that_answers_may_start_later() -> None:
+    """Its heartbeat may arrive before the previous incarnation's answer to a poll is read."""
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, born(6000))
     found.poll_answered(1.1, PollAnswer(1.05, [], [], born=5000))
@@ -194,15 +199,15 @@
     assert found.incarnations.classify(born(6000, 2)) is HeartbeatClass.UNCONFIRMED
 
 
-def test_an_id_that_has_left_serves_again_in_its_next_life() -> None:
+def test_deregistered_id_is_accepted_again_with_its_next_incarnation() -> None:
     found = known(5000)
     found.runner_deregistered(2.0, RunnerIncarnation("i-1", 5000))
     assert found.incarnations.classify(born(5000, 10)) is HeartbeatClass.LATE
     assert found.incarnations.classify(born(6000)) is HeartbeatClass.NEW
 
 
-def test_a_word_of_an_end_that_names_no_start_is_believed_until_the_runner_says_otherwise() -> None:
-    """It may be the late word of an earlier life under the id: what runs must go on."""
+def test_deregistration_without_a_start_time_holds_until_the_next_heartbeat() -> None:
+    """It may be a late one of an earlier incarnation with the id, so runs must continue."""
     found = known(5000)
     found.runner_deregistered(2.0, RunnerIncarnation("i-1"))
     assert found.incarnations.current == RunnerIncarnation("i-1", 5000)
@@ -211,8 +216,8 @@
     assert found.state() is RunnerState.READY
 
 
-def test_a_life_that_tells_its_start_follows_one_that_told_none() -> None:
-    """The runner's next software tells it."""
+def test_incarnation_with_a_start_time_may_replace_one_without() -> None:
+    """A newer version of the runner may send it."""
     found = RunnerControl(lease_times(Bounds()))
     found.heartbeat_received(1.0, FIRST)
     found.poll_answered(1.1, PollAnswer(1.05, [], []))
@@ -222,8 +227,10 @@
     assert found.incarnations.classify(born(6000)) is HeartbeatClass.CURRENT
 
 
-@pytest.mark.parametrize("before", [[], [NEXT]], ids=["first_life", "next_life"])
-def test_lists_may_tell_a_start_that_heartbeats_do_not(before: list[RunnerStatus]) -> None:
+@pytest.mark.parametrize("before", [[], [NEXT]], ids=["first_incarnation", "next_incarnation"])
+def test_poll_answers_may_have_a_start_time_that_heartbeats_lack(
+    before: list[RunnerStatus],
+) -> None:
     found = RunnerControl(lease_times(Bounds()))
     for status in (*before, FIRST):
         found.heartbeat_received(1.0, status)
--- a/testing/core/leased/test_late_reads.py
+++ b/testing/core/leased/test_late_reads.py
@@ -1,4 +1,4 @@
-"""What a target makes of looks that it read late: the time that it stood still is its own."""
+"""Tests that a target's own pause before it reads an answer is not counted against its runner."""
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
@@ -23,8 +23,8 @@
 ESTIMATE_MS = 600
 
 
-def at_work() -> Worker:
-    """Return a worker on which `RUNS` are known to be at work since 1.0."""
+def worker_with_runs() -> Worker:
+    """Return a worker on which `RUNS` are known to be running since 1.0."""
     worker = Worker(lease_times(Bounds()))
     worker.heartbeat_received(
         0.9,
@@ -40,8 +40,8 @@
     return worker
 
 
-def look(worker: Worker, sent: float, read: float, speed: float = 1.0) -> list[object]:
-    """Look at runs that began at 1.0, as the runner shows them at once, and let time pass."""
+def poll(worker: Worker, sent: float, read: float, speed: float = 1.0) -> list[object]:
+    """Poll runs started at 1.0 of a runner that answers at once, and return the stops."""
     worker.next_poll(sent)
     percent = int(speed * (sent - 1.0) * 100_000 / ESTIMATE_MS)
     answer = PollAnswer(sent, [RunningRun(run, percent) for run in RUNS], [])
@@ -49,34 +49,32 @@
     return [effect for effect in effects if isinstance(effect, StopRun)]
 
 
-@pytest.mark.parametrize("stood_still", [0.1, 0.15, 0.2, 0.3])
+@pytest.mark.parametrize("pause", [0.1, 0.15, 0.2, 0.3])
 @pytest.mark.parametrize("sent", [1.0, 1.01, 1.05])
-def test_a_runner_does_not_count_as_slow_by_a_look_that_was_read_late(
-    sent: float, stood_still: float
-) -> None:
-    worker = at_work()
-    read = sent + stood_still
-    assert look(worker, sent, read) == []
-    assert look(worker, read, read + 0.001) == []
-    assert look(worker, read + 0.05, read + 0.051) == []
+def test_poll_answer_read_late_does_not_make_a_runner_slow(sent: float, pause: float) -> None:
+    worker = worker_with_runs()
+    read = sent + pause
+    assert poll(worker, sent, read) == []
+    assert poll(worker, read, read + 0.001) == []
+    assert poll(worker, read + 0.05, read + 0.051) == []
 
 
-@pytest.mark.parametrize("stood_still", [0.0, 0.1, 0.2])
-def test_a_slow_runner_is_left_by_looks_that_show_it(stood_still: float) -> None:
-    worker = at_work()
-    look(worker, 1.01, 1.01 + stood_still, speed=0.2)
-    looks = [1.02 + stood_still + 0.05 * step for step in range(4)]
-    stopped = [stop for sent in looks for stop in look(worker, sent, sent + 0.001, speed=0.2)]
+@pytest.mark.parametrize("pause", [0.0, 0.1, 0.2])
+def test_slow_runner_is_detected_despite_a_pause(pause: float) -> None:
+    worker = worker_with_runs()
+    poll(worker, 1.01, 1.01 + pause, speed=0.2)
+    polls = [1.02 + pause + 0.05 * step for step in range(4)]
+    stopped = [stop for sent in polls for stop in poll(worker, sent, sent + 0.001, speed=0.2)]
     assert {stop.run for stop in stopped} == set(RUNS)
 
 
 @pytest.mark.parametrize(
-    ("took", "read", "level"),
+    ("duration", "read", "level"),
     [(0.6, 0.65, Health.GOOD), (0.6, 1.9, Health.GOOD), (1.9, 1.9, Health.SICK)],
     ids=["in-time", "read-late", "slow"],
 )
-def test_a_runner_proves_itself_by_an_end_that_was_read_late(
-    took: float, read: float, level: Health
+def test_end_read_late_counts_with_its_real_duration(
+    duration: float, read: float, level: Health
 ) -> None:
     control = RunnerControl(lease_times(Bounds()))
     control.heartbeat_received(
@@ -85,12 +83,12 @@
     )
     control.poll_answered(0.95, PollAnswer(0.92, [], []))
     control.health.suspect(1.0)
-    began = 1.1 + SICK_SECONDS
-    control.tick(began)
-    run = Run(RUNS[0], "e", "spec", Resources(1000, 10), ESTIMATE_MS / 1000, began + 9.0)
-    control.add(began, [run])
-    control.start_answered(began, run.id, StartAnswer.STARTED)
-    control.next_poll(began + took, renew=False)
+    started_at = 1.1 + SICK_SECONDS
+    control.tick(started_at)
+    run = Run(RUNS[0], "e", "spec", Resources(1000, 10), ESTIMATE_MS / 1000, started_at + 9.0)
+    control.add(started_at, [run])
+    control.start_answered(started_at, run.id, StartAnswer.STARTED)
+    control.next_poll(started_at + duration, renew=False)
     done = [FinishedRun(1, run.id, RunEnd.DONE)]
-    control.poll_answered(began + read, PollAnswer(began + took, [], done))
-    assert control.health.level(began + read) is level
+    control.poll_answered(started_at + read, PollAnswer(started_at + duration, [], done))
+    assert control.health.level(started_at + read) is level
--- a/testing/core/leased/test_lost_looks.py
+++ b/testing/core/leased/test_lost_polls.py
@@ -1,4 +1,4 @@
-"""The bound on harm while a runner's answers are lost: no task takes more runners down by that."""
+"""Tests that lost poll answers don't let a task crash more runners than permitted."""
 
 from random import Random
 
@@ -19,8 +19,8 @@
 ROOM = Resources(8000, 8000, 0)
 
 
-class LooksLost(Fleet):
-    """A fleet whose runners answer orders, and lose a share of the looks."""
+class LossyPollFleet(Fleet):
+    """A fleet whose runners answer orders, but not a share of the polls."""
 
     share = 0.0
     rng = Random(0)
@@ -34,18 +34,18 @@
 
 @pytest.mark.parametrize("share", [0.5, 0.7])
 @pytest.mark.parametrize("seed", range(6))
-def test_a_crashing_task_is_bounded_while_looks_are_lost(
+def test_crashes_by_one_task_are_bounded_while_polls_are_lost(
     seed: int, share: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is started right after a look without an answer, which the runner outlived."""
+    """The task is started right after a failed poll that the runner survived."""
     poll_failed = Worker.poll_failed
 
-    def noted_later(self: Worker, now: float, *, other_life: bool = False) -> list[Effect]:
-        # A look whose answer is lost is noted after what was ordered while it was awaited.
+    def delayed_poll_failed(self: Worker, now: float, *, other_life: bool = False) -> list[Effect]:
+        # A lost poll is noticed after the orders that were sent while it was awaited.
         return poll_failed(self, now + STEP / 2, other_life=other_life)
 
-    monkeypatch.setattr(Worker, "poll_failed", noted_later)
-    fleet = LooksLost(entries=2, targets=12)
+    monkeypatch.setattr(Worker, "poll_failed", delayed_poll_failed)
+    fleet = LossyPollFleet(entries=2, targets=12)
     fleet.settle()
     fleet.share, fleet.rng = share, Random(seed)
     fleet.submit_crashing("e0", "bad", count=1, deadline=6.0)
@@ -53,7 +53,7 @@
     assert fleet.crashes.crashed[BAD] <= 2
 
 
-def test_a_crashing_job_is_bounded_for_as_long_as_it_is_sent_again() -> None:
+def test_crashes_by_one_job_are_bounded_while_it_is_sent_again() -> None:
     fleet = Fleet(entries=2, targets=12)
     fleet.settle()
     for second in range(2 * round(KEEP_SECONDS) + 10):
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 def control() -> RunnerControl:
-    """Give the control of a runner with one run at work."""
+    """The control of a runner with one running run."""
     control = RunnerControl(lease_times(Bounds()))
     control.heartbeat_received(0.0, status())
     control.poll_answered(0.1, PollAnswer(0.05, [], []))
@@ -86,7 +86,7 @@
     return control
 
 
-def test_nothing_is_started_after_a_look_without_an_answer_until_one_has_one(
+def test_nothing_starts_after_a_failed_poll_until_one_is_answered(
     control: RunnerControl,
 ) -> None:
     control.next_poll(0.26, renew=True)
@@ -99,14 +99,14 @@
     assert any(isinstance(effect, StartRun) for effect in control.add(0.41, [again]))
 
 
-@pytest.mark.parametrize("given_up", [False, True], ids=["silent", "given_up"])
-def test_a_silent_life_that_says_it_ends_takes_its_loss_back(
-    given_up: bool, control: RunnerControl
+@pytest.mark.parametrize("lost", [False, True], ids=["silent", "lost"])
+def test_deregistration_of_a_silent_runner_withdraws_its_loss(
+    lost: bool, control: RunnerControl
 ) -> None:
     control.next_poll(0.26, renew=True)
     control.poll_failed(0.3)
     control.poll_failed(0.35)
-    if given_up:
+    if lost:
         control.poll_failed(5.0)
     control.runner_deregistered(5.1, RunnerIncarnation("i-1"))
     assert isinstance(control.losses.take_news()[-1], RunnerReturned)
--- a/testing/core/leased/test_progress.py
+++ b/testing/core/leased/test_progress.py
@@ -1,4 +1,4 @@
-"""What the progress of a run says of it."""
+"""Tests of how a run's progress is evaluated."""
 
 import pytest
 from paddleshunt_core.leased.health import RunnerHealth
@@ -23,9 +23,9 @@
     return run
 
 
-def watch(run: Run, *looks: tuple[float, int]) -> RunnerHealth:
+def watch(run: Run, *polls: tuple[float, int]) -> RunnerHealth:
     health = RunnerHealth()
-    for at, percent in looks:
+    for at, percent in polls:
         note_progress(at, at, run, percent, health)
     return health
 
@@ -51,58 +51,56 @@
 
 
 @pytest.mark.parametrize("estimate", [0.2, 0.6, 3.2, 5.0, 10.0, 60.0])
-def test_a_runner_is_not_slow_for_what_no_whole_percent_can_tell(estimate: float) -> None:
+def test_rounding_to_whole_percents_does_not_make_a_runner_slow(estimate: float) -> None:
     assert slow_at(estimate, 1.0, min(estimate, 2.0)) is None
 
 
 @pytest.mark.parametrize(("estimate", "soon"), [(0.6, 0.1), (3.2, 0.2), (10.0, 0.4)])
 @pytest.mark.parametrize("speed", [0.0, 0.2])
-def test_a_slow_runner_is_noticed_soon(estimate: float, soon: float, speed: float) -> None:
+def test_slow_runner_is_detected_soon(estimate: float, soon: float, speed: float) -> None:
     found = slow_at(estimate, speed, 2.0)
     assert found is not None and found < soon + 0.01
 
 
 @pytest.mark.parametrize(
-    ("estimate", "patience"), [(0.05, MIN_STUCK_SECONDS), (0.2, 0.2), (5.0, STUCK_SECONDS)]
+    ("estimate", "limit"), [(0.05, MIN_STUCK_SECONDS), (0.2, 0.2), (5.0, STUCK_SECONDS)]
 )
-def test_a_run_is_stuck_after_a_patience_that_its_length_sets(
-    estimate: float, patience: float
-) -> None:
+def test_time_until_a_run_is_stuck_depends_on_its_estimate(estimate: float, limit: float) -> None:
     run = run_of(estimate)
-    watch(run, (1.0 + patience / 2, 0), (1.0 + patience, 0))
-    assert not is_stuck(1.0 + patience, run)
-    assert is_stuck(1.0 + patience + 0.01, run)
+    watch(run, (1.0 + limit / 2, 0), (1.0 + limit, 0))
+    assert not is_stuck(1.0 + limit, run)
+    assert is_stuck(1.0 + limit + 0.01, run)
 
 
-def test_one_look_without_progress_shows_nothing() -> None:
+def test_one_poll_without_progress_is_not_enough() -> None:
     run = run_of(0.1)
     watch(run, (2.0, 0))
     assert not is_stuck(2.0, run)
     assert not is_stalled(2.0, run)
 
 
-def test_a_run_that_moved_is_not_stuck() -> None:
+def test_progressing_run_is_not_stuck() -> None:
     run = run_of(0.1)
     watch(run, (1.5, 0), (2.0, 0), (2.05, 30))
     assert not is_stuck(2.1, run)
 
 
 @pytest.mark.parametrize(
-    ("estimate", "patience"),
+    ("estimate", "limit"),
     [(0.1, HUNG_SECONDS), (10.0, 10.0 * HUNG_SHARE)],
     ids=["short", "long"],
 )
-def test_a_long_run_may_stand_longer_as_its_percents_are_longer(
-    estimate: float, patience: float
+def test_long_run_may_stall_longer_as_its_percents_take_longer(
+    estimate: float, limit: float
 ) -> None:
     run = run_of(estimate)
-    watch(run, (1.0 + patience / 2, 0), (1.0 + patience, 0))
-    assert not is_stalled(1.0 + patience, run)
-    assert is_stalled(1.0 + patience + 0.01, run)
+    watch(run, (1.0 + limit / 2, 0), (1.0 + limit, 0))
+    assert not is_stalled(1.0 + limit, run)
+    assert is_stalled(1.0 + limit + 0.01, run)
 
 
 @pytest.mark.parametrize(("percent", "elsewhere"), [(10, True), (80, False)])
-def test_a_slow_run_near_its_end_is_left_to_end(percent: int, elsewhere: bool) -> None:
+def test_slow_run_near_its_end_is_not_restarted(percent: int, elsewhere: bool) -> None:
     run = run_of(1.0)
     run.percent = percent
     assert is_faster_elsewhere(run, 0.3) is elsewhere
--- a/testing/core/leased/test_release.py
+++ b/testing/core/leased/test_release.py
@@ -1,7 +1,7 @@
-"""The runners of a service are replaced one after the other: no job is lost, none starts late.
+"""Tests that a rolling replacement of a service's runners loses no job.
 
-The new runner comes first, at another host or at the same one; the old one says that it drains,
-and leaves once its drain time is over.
+Each new runner is on another host than the old one, or on the same. The old runner announces that
+it drains, and leaves when its drain time is over.
 """
 
 from collections.abc import Callable
@@ -10,16 +10,16 @@
 from leasedfleet import STEP, Fleet
 from paddleshunt_core.leased.outcomes import Completed
 
-HEARD_SECONDS = 0.32
-"""Seconds until a fake runner's next heartbeat has been heard."""
+HEARTBEAT_SECONDS = 0.32
+"""Seconds until a simulated runner's next heartbeat has been received."""
 
 DRAIN_SECONDS = 1.0
-PAUSE = 0.1
-"""Seconds between two jobs."""
+JOB_INTERVAL = 0.1
+"""Seconds from one job to the next."""
 
 
 class Release:
-    """A fleet of which the first half of the targets is replaced by the second, under load."""
+    """Replaces the first half of a fleet's targets by the second half, under load."""
 
     def __init__(self, size: int) -> None:
         self.fleet = Fleet(entries=2, targets=2 * size)
@@ -33,7 +33,7 @@
         self._next_job = 0.0
 
     def stop(self, name: str) -> None:
-        """Take a host away with its target and its runner."""
+        """Stop a host with its target and its runner."""
         self.fleet.kill(name)
         self.fleet.runners[name].crash()
 
@@ -43,10 +43,10 @@
         self.fleet.runners[name].restart()
 
     def run(self, seconds: float, watched: str = "") -> None:
-        """Hand in jobs meanwhile; note what starts on the `watched` runner."""
+        """Submit jobs for some seconds; record the starts on the `watched` runner."""
         for _ in range(round(seconds / STEP)):
             if self.fleet.now >= self._next_job:
-                self._next_job = self.fleet.now + PAUSE
+                self._next_job = self.fleet.now + JOB_INTERVAL
                 number = len(self.callers)
                 caller = self.fleet.submit(f"e{number % 2}", f"job{number}", length=0.4)
                 self.callers.append(caller)
@@ -56,13 +56,13 @@
                 self.late_starts.append(watched)
 
     def drain(self, name: str) -> None:
-        """Let a runner say that it drains, and leave after its drain time."""
+        """Let a runner announce that it drains, and deregister after its drain time."""
         self.fleet.runners[name].leaving = True
-        self.run(HEARD_SECONDS)
+        self.run(HEARTBEAT_SECONDS)
         self.run(DRAIN_SECONDS, watched=name)
-        life = self.fleet.runners[name].named(name)
+        incarnation = self.fleet.runners[name].named(name)
         worker = self.fleet.workers[name]
-        self.fleet._act_target(name, worker.runner_deregistered(self.fleet.now, life))
+        self.fleet._act_target(name, worker.runner_deregistered(self.fleet.now, incarnation))
 
     def end(self) -> None:
         """Let all jobs end."""
@@ -89,11 +89,11 @@
         release.run(0.5)
 
 
-def nothing_cut(fleet: Fleet) -> None:
+def no_partition(fleet: Fleet) -> None:
     pass
 
 
-def host_cut(*names: str) -> Callable[[Fleet], None]:
+def partition(*names: str) -> Callable[[Fleet], None]:
     def cut(fleet: Fleet) -> None:
         for name in names:
             for other in (*fleet.entries, *fleet.targets):
@@ -105,11 +105,11 @@
 
 @pytest.mark.parametrize(
     "cut",
-    [nothing_cut, host_cut("t2"), host_cut("t0"), host_cut("t3")],
-    ids=["links-whole", "other-host-cut", "draining-host-cut", "new-host-cut"],
+    [no_partition, partition("t2"), partition("t0"), partition("t3")],
+    ids=["no-partition", "other-host", "draining-host", "new-host"],
 )
 @pytest.mark.parametrize("way", [at_other_hosts, at_the_same_hosts])
-def test_a_release_by_turns_loses_no_job_and_starts_nothing_on_a_draining_runner(
+def test_rolling_release_loses_no_job_and_starts_nothing_on_a_draining_runner(
     way: Callable[[Release], None], cut: Callable[[Fleet], None]
 ) -> None:
     release = Release(3)
@@ -127,7 +127,7 @@
     assert release.late_starts == []
 
 
-def test_what_runs_on_a_draining_runner_ends_there() -> None:
+def test_runs_on_a_draining_runner_end_there() -> None:
     release = Release(2)
     release.run(0.5)
     at_other_hosts(release)
--- a/testing/core/leased/test_returning.py
+++ b/testing/core/leased/test_returning.py
@@ -1,15 +1,7 @@
-"""A runner starts again under its id while an order to start is on its way to the life before.
+"""Tests that a late order to a restarted runner with the same id doesn't run a task twice.
 
-Seen: in the core's fleet a task was at work at two runners at once, for up to 50 ms.
-
-How it came about: an order that had no answer yet when its runner crashed was carried out by the
-next life, as both bear one id. The target met that life, told all runs of the last one as lost, and
-the entry placed the task elsewhere at once, while the stop of the first run took its time.
-
-Proof: `Fleet.check`, which asks the runners after each step: eight of 44 ways to meet broke it.
-
-Cause: no answer tells an order's life from the next one. So its runs stay the target's until the
-next life has answered a call of a higher token: what it doesn't list by then it will never start.
+An unanswered order may be executed by the next incarnation, so the run stays the target's until
+that has answered a call with a higher token: what it doesn't list by then never starts.
 """
 
 from itertools import product
@@ -20,53 +12,56 @@
 from paddleshunt_core.leased.retries import SILENT_RUNNERS
 from paddleshunt_core.leased.wire import TaskId
 
-LATE = [n * STEP for n in range(1, 12)]
-"""Seconds from an order until it is carried out."""
+ORDER_DELAYS = [n * STEP for n in range(1, 12)]
+"""Seconds from an order until it is executed."""
 
-AWAY = [n * STEP for n in range(4)]
-"""Seconds from a crash until the runner is back."""
+DOWNTIMES = [n * STEP for n in range(4)]
+"""Seconds from a crash until the restart."""
 
-STOP_SECONDS = 0.05
-"""Seconds that a stop takes at most, by the platform's word."""
+STOP_DURATION = 0.05
+"""Maximum seconds that the platform specifies for a stop."""
 
 
-def play(late: float, away: float, *, falls_silent: bool = False) -> str:
-    """Let a runner crash and come back before an order is carried out; return what was broken."""
+def play(late: float, downtime: float, *, becomes_silent: bool = False) -> str:
+    """Let a runner restart before it executes an order; return a violation, if any."""
     fleet = Fleet(entries=1, targets=2)
     fleet.settle()
     runner = fleet.runners["t0"]
     runner.late = late
-    runner.stop_seconds = STOP_SECONDS
-    caller = fleet.submit("e0", "job", count=4, length=3.0 if falls_silent else 0.5)
+    runner.stop_seconds = STOP_DURATION
+    caller = fleet.submit("e0", "job", count=4, length=3.0 if becomes_silent else 0.5)
     while len(fleet._late_orders) < 2:
         fleet.step()
     runner.late = None
     runner.crash()
     try:
-        fleet.run(away)
+        fleet.run(downtime)
         runner.restart(same_id=True)
-        while falls_silent and not fleet.ends("runner_replaced"):
+        while becomes_silent and not fleet.ends("runner_replaced"):
             fleet.step()
-        runner.mute = falls_silent
+        runner.mute = becomes_silent
         fleet.run(4.0)
     except AssertionError as broken:
-        return f"late {late:.2f} away {away:.2f}: {broken}"
+        return f"late {late:.2f} downtime {downtime:.2f}: {broken}"
     return "" if caller in fleet.answers else "no answer"
 
 
-def test_an_order_for_the_life_before_starts_no_task_twice() -> None:
-    broken = [play(late, away) for late, away in product(LATE, AWAY)]
+def test_late_order_to_the_previous_incarnation_starts_no_task_twice() -> None:
+    broken = [play(late, downtime) for late, downtime in product(ORDER_DELAYS, DOWNTIMES)]
     assert [each for each in broken if each] == []
 
 
-def test_nor_does_it_if_the_next_life_falls_silent_once_it_was_met() -> None:
-    """What it was ordered by the last life's clock it may keep for the longest lease there is."""
-    broken = [play(late, away, falls_silent=True) for late, away in product(LATE, AWAY)]
+def test_late_order_starts_no_task_twice_if_the_next_incarnation_becomes_silent() -> None:
+    """It may keep a run for the longest lease, as the order's lease was for another clock."""
+    broken = [
+        play(late, downtime, becomes_silent=True)
+        for late, downtime in product(ORDER_DELAYS, DOWNTIMES)
+    ]
     assert [each for each in broken if each] == []
 
 
-def test_what_was_given_up_is_refused_from_the_first_call_that_reaches_the_next_life() -> None:
-    """Its task is at work elsewhere by then; an order that comes before any call can't be told."""
+def test_late_order_for_a_lost_run_is_refused_once_the_next_incarnation_is_called() -> None:
+    """Its task runs elsewhere by then; an order before any call can't be recognised as late."""
     fleet = Fleet(entries=1, targets=2)
     fleet.settle()
     runner = fleet.runners["t0"]
@@ -86,17 +81,17 @@
     assert not runner.starts
 
 
-class AlwaysTheSame(Random):
-    """Draws the old id for each life."""
+class SameId(Random):
+    """Draws the same id for each incarnation."""
 
     def random(self) -> float:
         return 0.0
 
 
-def test_each_crash_of_one_id_counts_as_a_lost_runner() -> None:
-    """By the id alone, a task could take the same runner down for as long as it is asked for."""
+def test_each_crash_under_one_id_counts_as_a_lost_runner() -> None:
+    """Counted by id alone, a task could crash the same runner any number of times."""
     fleet = Fleet(entries=1, targets=1)
-    fleet.lives = AlwaysTheSame(1)
+    fleet.lives = SameId(1)
     fleet.settle()
     caller = fleet.submit_crashing("e0", "bad", count=1, deadline=20.0)
     fleet.run(18.0)
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -1,4 +1,4 @@
-"""Confinement by runners that are only silent: what it rests on may be taken back."""
+"""Tests of confinement because of silent runners, whose evidence may be withdrawn."""
 
 import pytest
 from paddleshunt_core.events import Log
@@ -29,8 +29,8 @@
     return record
 
 
-class Judge:
-    """One entry's containment, told of runners by hand."""
+class ContainmentDriver:
+    """Drives one entry's containment with reports on runners."""
 
     def __init__(self) -> None:
         self.containment = Containment(TIMES.hold)
@@ -41,7 +41,7 @@
             self.containment.serves(0.0, queue, lambda: self.targets)
 
     def silent(self, at: float, runner: str, **work: tuple[str, int]) -> list[Log]:
-        """Tell of a runner's silence; `work`: the queue and milliseconds of each job's one task."""
+        """Report a silent runner; `work`: queue and milliseconds of the one task of each job."""
         tasks = [TaskId(job, 0, 0) for job in work]
         queues = [queue for queue, _ in work.values()]
         worked = [ms for _, ms in work.values()]
@@ -50,12 +50,12 @@
         return self.containment.learn(at, news, lambda: self.targets)[1]
 
     def returned(self, at: float, runner: str) -> list[Log]:
-        """Tell that a runner answers again."""
+        """Report that a runner answers again."""
         news = RunnerReturned(LossId(runner, self.since[runner]))
         return self.containment.learn(at, news, lambda: self.targets)[1]
 
-    def follow(self, at: float) -> list[Log]:
-        """Let time pass."""
+    def advance(self, at: float) -> list[Log]:
+        """Advance the containment to a time."""
         return self.containment.follow(at, self.targets, RoomNow(at, self.targets, TIMES))
 
     def confined(self) -> dict[str, object]:
@@ -70,93 +70,93 @@
 
 
 @pytest.fixture
-def judge() -> Judge:
-    """Return one that has just confined the queue `bad`, for the runners r0 and r1."""
-    judge = Judge()
-    assert judge.silent(1.0, "r0", a=("bad", 10), b=("sound", 400)) == []
-    logs = judge.silent(1.9, "r1", a=("bad", 10), c=("sound", 300))
+def driver() -> ContainmentDriver:
+    """A driver that has just confined the queue `bad` because of the runners r0 and r1."""
+    driver = ContainmentDriver()
+    assert driver.silent(1.0, "r0", a=("bad", 10), b=("sound", 400)) == []
+    logs = driver.silent(1.9, "r1", a=("bad", 10), c=("sound", 300))
     assert events(logs) == ["queue_confined"]
     assert logs[0].fields["runners"] == "r0,r1"
-    assert set(judge.confined()) == {"bad"}
-    return judge
+    assert set(driver.confined()) == {"bad"}
+    return driver
 
 
 @pytest.mark.parametrize("runner", ["r0", "r1"])
-def test_a_queue_is_free_at_once_when_what_it_was_confined_for_is_taken_back(
-    judge: Judge, runner: str
+def test_queue_is_released_at_once_when_its_evidence_is_withdrawn(
+    driver: ContainmentDriver, runner: str
 ) -> None:
-    logs = judge.returned(2.0, runner)
+    logs = driver.returned(2.0, runner)
     assert events(logs) == ["queue_evidence_taken_back", "queue_released"]
     assert logs[0].fields["answers"] == runner
     assert logs[0].fields["second_losses_left"] == 0
     assert logs[1].fields["reason"] == "taken_back"
-    assert not judge.confined()
+    assert not driver.confined()
 
 
-def test_a_runner_that_answers_again_and_was_no_evidence_frees_nobody(judge: Judge) -> None:
-    judge.silent(2.0, "r2", d=("bad", 100))
-    assert judge.returned(2.2, "r2") == []
-    assert set(judge.confined()) == {"bad"}
+def test_return_of_a_runner_that_is_no_evidence_releases_nothing(driver: ContainmentDriver) -> None:
+    driver.silent(2.0, "r2", d=("bad", 100))
+    assert driver.returned(2.2, "r2") == []
+    assert set(driver.confined()) == {"bad"}
 
 
-def test_a_queue_stays_confined_by_what_is_left(judge: Judge) -> None:
-    judge.silent(2.8, "r2", a=("bad", 10))
-    logs = judge.returned(2.9, "r1")
+def test_queue_stays_confined_while_evidence_is_left(driver: ContainmentDriver) -> None:
+    driver.silent(2.8, "r2", a=("bad", 10))
+    logs = driver.returned(2.9, "r1")
     assert events(logs) == ["queue_evidence_taken_back"]
     assert logs[0].fields["second_losses_left"] == 1
-    assert set(judge.confined()) == {"bad"}
-    assert events(judge.returned(3.0, "r2"))[-1] == "queue_released"
+    assert set(driver.confined()) == {"bad"}
+    assert events(driver.returned(3.0, "r2"))[-1] == "queue_released"
 
 
-def test_what_is_left_counts_with_the_next_loss(judge: Judge) -> None:
-    judge.returned(2.0, "r1")
-    logs = judge.silent(2.8, "r2", a=("bad", 10))
+def test_remaining_evidence_counts_with_the_next_loss(driver: ContainmentDriver) -> None:
+    driver.returned(2.0, "r1")
+    logs = driver.silent(2.8, "r2", a=("bad", 10))
     assert events(logs) == ["queue_confined"]
     assert logs[0].fields["runners"] == "r0,r2"
 
 
-def test_a_queue_that_was_freed_for_another_is_judged_anew_when_that_one_is_free() -> None:
-    judge = Judge()
-    judge.silent(1.0, "r0", a=("sound", 300), b=("bad", 10))
-    logs = judge.silent(1.9, "r1", a=("sound", 900), c=("bad", 90))
+def test_queue_released_for_another_is_confined_again_when_that_one_is_released() -> None:
+    driver = ContainmentDriver()
+    driver.silent(1.0, "r0", a=("sound", 300), b=("bad", 10))
+    logs = driver.silent(1.9, "r1", a=("sound", 900), c=("bad", 90))
     assert events(logs) == ["queue_confined"]
-    logs = judge.silent(2.8, "r2", b=("bad", 1))
+    logs = driver.silent(2.8, "r2", b=("bad", 1))
     assert events(logs) == ["queue_confined", "queue_released"]
     assert logs[1].fields["reason"] == "explained_by_bad"
-    logs = judge.returned(3.0, "r2")
+    logs = driver.returned(3.0, "r2")
     assert events(logs) == ["queue_evidence_taken_back", "queue_released", "queue_confined"]
-    assert set(judge.confined()) == {"sound"}
+    assert set(driver.confined()) == {"sound"}
 
 
-def test_while_most_runners_answer_again_a_silence_confines_only_once_it_lasts() -> None:
-    judge = Judge()
+def test_silence_confines_only_once_it_lasts_while_most_runners_return() -> None:
+    driver = ContainmentDriver()
     for runner in ("back0", "back1"):
-        judge.silent(0.5, runner, x=("sound", 100))
-        judge.returned(0.6, runner)
-    judge.silent(1.0, "r0", a=("bad", 10))
-    judge.silent(1.9, "r1", a=("bad", 10))
-    assert judge.containment.is_waiting
+        driver.silent(0.5, runner, x=("sound", 100))
+        driver.returned(0.6, runner)
+    driver.silent(1.0, "r0", a=("bad", 10))
+    driver.silent(1.9, "r1", a=("bad", 10))
+    assert driver.containment.is_waiting
     late = 1.9 + PATIENCE * TIMES.hold
-    assert judge.follow(late - 0.01) == []
-    assert events(judge.follow(late + 0.01)) == ["queue_confined"]
+    assert driver.advance(late - 0.01) == []
+    assert events(driver.advance(late + 0.01)) == ["queue_confined"]
 
 
-def test_a_queue_is_free_as_most_runners_answer_again_though_its_own_do_not_yet(
-    judge: Judge,
+def test_queue_is_released_when_most_runners_return_even_if_its_own_do_not(
+    driver: ContainmentDriver,
 ) -> None:
     for runner in ("back0", "back1"):
-        judge.silent(2.0, runner, x=("sound", 100))
-    assert judge.returned(2.1, "back0") == []
-    logs = judge.returned(2.2, "back1")
+        driver.silent(2.0, runner, x=("sound", 100))
+    assert driver.returned(2.1, "back0") == []
+    logs = driver.returned(2.2, "back1")
     assert events(logs) == ["queue_evidence_taken_back", "queue_released"]
     assert logs[0].fields["runners"] == "r0,r1"
-    assert events(judge.follow(1.9 + PATIENCE * TIMES.hold + 0.01)) == ["queue_confined"]
+    assert events(driver.advance(1.9 + PATIENCE * TIMES.hold + 0.01)) == ["queue_confined"]
 
 
-def test_a_silence_that_is_no_evidence_prolongs_no_confinement(judge: Judge) -> None:
-    judge.silent(2.0, "back", x=("sound", 100))
-    judge.returned(2.1, "back")
-    judge.silent(2.2, "back", y=("bad", 200))
-    assert judge.confined() == {"bad": 0}
-    judge.silent(2.3, "r2", z=("bad", 200))
-    assert judge.confined() == {"bad": 1}
+def test_silence_that_is_no_evidence_extends_no_confinement(driver: ContainmentDriver) -> None:
+    driver.silent(2.0, "back", x=("sound", 100))
+    driver.returned(2.1, "back")
+    driver.silent(2.2, "back", y=("bad", 200))
+    assert driver.confined() == {"bad": 0}
+    driver.silent(2.3, "r2", z=("bad", 200))
+    assert driver.confined() == {"bad": 1}
--- a/testing/core/leased/test_stale_ends.py
+++ b/testing/core/leased/test_stale_ends.py
@@ -1,4 +1,4 @@
-"""Ends that belong to an earlier try of a job."""
+"""Tests of ends that belong to an earlier attempt at a job."""
 
 from random import Random
 
@@ -29,7 +29,7 @@
     return RunnerReport("svc", "i", RunnerState.READY, Health.GOOD, WHOLE, free)
 
 
-def test_an_end_from_another_target_than_the_runs_own_is_ignored() -> None:
+def test_end_from_another_target_is_ignored() -> None:
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(1))
     for name, free in (("t0", Resources(500, 8000)), ("t1", WHOLE)):
         dispatcher.greeted(1.0, Hello(name, "life", False, "hall", "", 0, 0))
@@ -46,7 +46,7 @@
         assert not [b for b in session.frame(1020).bodies if isinstance(b, Assign)]
 
 
-def test_runs_lost_with_a_target_are_not_taken_for_those_of_a_later_try() -> None:
+def test_runs_lost_with_a_target_are_not_taken_for_those_of_a_later_attempt() -> None:
     times = lease_times(Bounds())
     dispatcher = Dispatcher(times, "hall", Random(1))
     for name, free in (("t0", WHOLE), ("t1", Resources(500, 8000))):
--- a/testing/core/leased/test_statuscheck.py
+++ b/testing/core/leased/test_statuscheck.py
@@ -1,4 +1,4 @@
-"""A word that contradicts what the same life of a runner has said is not followed at once."""
+"""Tests that a status contradicting earlier ones is not accepted at once."""
 
 from dataclasses import replace
 
@@ -31,27 +31,31 @@
     return control
 
 
-@pytest.mark.parametrize("odd", CONTRADICTIONS, ids=["service", "hall", "labels"])
-def test_one_word_moves_no_runner_out_of_its_pool(
-    control: RunnerControl, odd: RunnerStatus
+@pytest.mark.parametrize("contradicting", CONTRADICTIONS, ids=["service", "hall", "labels"])
+def test_single_heartbeat_does_not_move_a_runner_to_another_pool(
+    control: RunnerControl, contradicting: RunnerStatus
 ) -> None:
-    assert events(control, odd) == ["heartbeat_contradicts"]
+    assert events(control, contradicting) == ["heartbeat_contradicts"]
     assert control.status == GOOD
-    # Nor does its number make the runner's own next word a late one.
+    # Its sequence number does not make the runner's own next heartbeat late either.
     same_number = replace(GOOD, sequence=2, capacity=Resources(4, 4))
     assert events(control, same_number) == ["runner_resized"]
     assert control.status == same_number
 
 
-@pytest.mark.parametrize("odd", CONTRADICTIONS, ids=["service", "hall", "labels"])
-def test_what_is_said_twice_in_a_row_is_followed(control: RunnerControl, odd: RunnerStatus) -> None:
-    control.heartbeat_received(1.0, odd)
-    again = replace(odd, sequence=3)
+@pytest.mark.parametrize("contradicting", CONTRADICTIONS, ids=["service", "hall", "labels"])
+def test_contradiction_received_twice_in_a_row_is_accepted(
+    control: RunnerControl, contradicting: RunnerStatus
+) -> None:
+    control.heartbeat_received(1.0, contradicting)
+    again = replace(contradicting, sequence=3)
     assert events(control, again) == []
     assert control.status == again
 
 
-def test_a_contradiction_between_sound_words_is_never_followed(control: RunnerControl) -> None:
+def test_contradiction_between_good_heartbeats_is_never_accepted(
+    control: RunnerControl,
+) -> None:
     for sequence in range(2, 20, 2):
         assert events(control, replace(CONTRADICTIONS[0], sequence=sequence)) == [
             "heartbeat_contradicts"
@@ -60,7 +64,7 @@
     assert control.status is not None and control.status.service == "svc"
 
 
-def test_another_life_may_have_another_service(control: RunnerControl) -> None:
+def test_other_incarnation_may_have_another_service(control: RunnerControl) -> None:
     other = replace(CONTRADICTIONS[0], runner=RunnerIncarnation("i-2"))
     assert "heartbeat_contradicts" not in events(control, other)
     assert control.status == other
--- a/testing/core/leased/test_sight.py
+++ b/testing/core/leased/test_targetlogs.py
@@ -1,4 +1,4 @@
-"""What a target logs so that stale decisions and lost leases can be told apart afterwards."""
+"""Tests of the target's log lines on outdated decisions and lost leases."""
 
 import pytest
 from paddleshunt_core.events import Log
@@ -25,13 +25,13 @@
 
 
 def lines(effects: list[object], event: str) -> list[dict[str, object]]:
-    """Return the fields of the lines of one event."""
+    """Return the fields of the log lines of one event."""
     return [dict(e.fields) for e in effects if isinstance(e, Log) and e.event == event]
 
 
 @pytest.fixture
 def worker() -> Worker:
-    """A worker in session with an entry since 1.0, whose runner was looked at."""
+    """A worker with a session of one entry since 1.0, whose runner was polled."""
     worker = Worker(TIMES)
     worker.heartbeat_received(
         0.9, RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", NEED + NEED, False, None)
@@ -41,26 +41,26 @@
     return worker
 
 
-def test_an_order_names_its_entry_and_when_it_was_decided(worker: Worker) -> None:
+def test_order_has_its_entry_and_decision_time(worker: Worker) -> None:
     effects = worker.frame_received(1.1, "e", Frame(1, 0, 1100, 1000, [assign("job")]))
     orders = [effect for effect in effects if isinstance(effect, StartRun)]
     assert [(order.entry, order.decided) for order in orders] == [("e", 1.1)]
 
 
-def test_what_is_left_of_a_session_counts_from_the_newest_echo(worker: Worker) -> None:
+def test_remaining_session_lease_counts_from_the_newest_echo(worker: Worker) -> None:
     worker.frame_received(1.3, "e", Frame(1, 0, 1300, 1200, []))
     assert worker.session_left(1.3, "e") == pytest.approx(TIMES.session - 0.1)
     assert worker.session_left(1.3, "unknown") == 0.0
 
 
-def test_a_stand_still_is_told_once_with_its_length(worker: Worker) -> None:
+def test_pause_is_logged_once_with_its_length(worker: Worker) -> None:
     worker.tick(1.1)
     assert lines(worker.tick(1.2), "stood_still") == []
     assert lines(worker.tick(2.7), "stood_still") == [{"seconds": 1.5, "runs": 0}]
     assert lines(worker.tick(2.8), "stood_still") == []
 
 
-def test_a_run_taken_for_lost_says_on_what_grounds(worker: Worker) -> None:
+def test_lapsed_run_is_logged_with_its_reasons(worker: Worker) -> None:
     worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign("job")]))
     effects = worker.poll_failed(2.5)
     assert lines(effects, "run_lapsed") == [
@@ -73,14 +73,14 @@
     ]
 
 
-def test_an_assignment_given_back_says_why(worker: Worker) -> None:
+def test_returned_assignment_is_logged_with_its_reason(worker: Worker) -> None:
     foreign = RunId(TaskId("other", 0, 0), 1)
     worker.poll_answered(1.05, PollAnswer(1.04, [RunningRun(foreign, 5)], []))
     effects = worker.frame_received(1.1, "e", Frame(1, 0, 1100, 1050, [assign("job")]))
     assert [line["reason"] for line in lines(effects, "run_ended")] == ["foreign_runs"]
 
 
-def test_a_lost_runner_names_what_was_at_work_on_it_and_for_how_long(worker: Worker) -> None:
+def test_lost_runner_is_logged_with_its_runs_and_their_durations(worker: Worker) -> None:
     worker.frame_received(1.1, "e", Frame(1, 0, 1100, 1000, [assign("job")]))
     worker.start_answered(1.102, RUN, StartAnswer.STARTED)
     worker.next_poll(1.12)
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -1,4 +1,4 @@
-"""The target's worker, step by step."""
+"""Tests of the target's worker, one input at a time."""
 
 import pytest
 from paddleshunt_core.events import Log
@@ -35,7 +35,7 @@
 RUN = RunId(TaskId("job", 0, 0), 1)
 
 
-def working() -> Worker:
+def worker_with_run() -> Worker:
     """Return a worker that has just ordered `RUN`, at time 1.0."""
     worker = Worker(lease_times(Bounds()))
     status = RunnerStatus(
@@ -51,7 +51,7 @@
 
 
 def assignment(number: int, at_ms: int, runs: int) -> Frame:
-    """Return the frame that brings runs of another job."""
+    """Return a frame that assigns runs of another job."""
     need = Resources(1000, 10)
     tasks = [(index, 1) for index in range(runs)]
     return Frame(
@@ -59,28 +59,28 @@
     )
 
 
-def test_a_run_seen_at_work_before_its_starts_answer_goes_on() -> None:
-    worker = working()
+def test_run_listed_before_its_start_is_answered_continues() -> None:
+    worker = worker_with_run()
     worker.poll_answered(1.01, PollAnswer(1.005, [RunningRun(RUN, 2)], []))
     effects = worker.start_answered(1.02, RUN, StartAnswer.STARTED)
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
 
 
-def test_a_doubtful_start_that_a_look_does_not_show_is_stopped() -> None:
-    worker = working()
+def test_unanswered_start_that_a_poll_does_not_list_is_stopped() -> None:
+    worker = worker_with_run()
     assert worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN) == []
     effects = worker.poll_answered(1.2, PollAnswer(1.1, [], []))
     assert StopRun(RUN) in effects
 
 
-def test_a_look_from_before_the_doubt_decides_nothing() -> None:
-    worker = working()
+def test_poll_sent_before_the_start_went_unanswered_decides_nothing() -> None:
+    worker = worker_with_run()
     worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN)
     effects = worker.poll_answered(1.09, PollAnswer(1.0, [], []))
     assert StopRun(RUN) not in effects
 
 
-def test_what_an_earlier_life_has_left_is_stopped_and_logged() -> None:
+def test_run_left_by_an_earlier_process_is_stopped_and_logged() -> None:
     worker = Worker(lease_times(Bounds()))
     effects = worker.poll_answered(1.0, PollAnswer(0.9, [RunningRun(RUN, 30)], []))
     assert StopRun(RUN) in effects
@@ -88,8 +88,8 @@
     assert not worker.may_open("e")
 
 
-def test_a_run_that_is_known_already_is_given_back() -> None:
-    worker = working()
+def test_assigned_run_that_exists_already_is_returned() -> None:
+    worker = worker_with_run()
     worker.greeting_answered(1.0, Hello("e2", "life", True, "hall", "", 1, 0), 1.0)
     assign = Assign("job", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
     effects = worker.frame_received(1.01, "e2", Frame(1, 0, 1010, 1010, [assign]))
@@ -110,8 +110,8 @@
     return [body for body in bodies if isinstance(body, RunnerReport)]
 
 
-def test_a_report_soon_after_another_waits() -> None:
-    worker = working()
+def test_report_soon_after_another_is_delayed() -> None:
+    worker = worker_with_run()
     assert len(reports(worker, 1.0)) == 1
     worker.frame_received(1.01, "e", assignment(2, 1010, 1))
     assert reports(worker, 1.01) == []
@@ -120,8 +120,8 @@
     assert len(reports(worker, due)) == 1
 
 
-def test_an_end_brings_a_report_at_once() -> None:
-    worker = working()
+def test_end_is_reported_at_once() -> None:
+    worker = worker_with_run()
     reports(worker, 1.0)
     worker.start_answered(1.005, RUN, StartAnswer.STARTED)
     done = FinishedRun(1, RUN, RunEnd.DONE)
@@ -129,20 +129,23 @@
     assert [report.free for report in reports(worker, 1.01)] == [Resources(8000, 8000)]
 
 
-def test_without_plenty_of_room_changes_are_told_sooner() -> None:
+def test_changes_are_reported_sooner_when_little_is_free() -> None:
     times = lease_times(Bounds())
-    worker = working()
+    worker = worker_with_run()
     reports(worker, 1.0)
     worker.frame_received(1.01, "e", assignment(2, 1010, 1))
-    calm = worker.prepare_frames(1.01)
+    ample = worker.prepare_frames(1.01)
     worker.frame_received(1.02, "e", assignment(3, 1020, 5))
-    full = worker.prepare_frames(1.02)
-    assert (calm, full) == (1.0 + times.heartbeat, 1.0 + REPORT_SECONDS)
+    little = worker.prepare_frames(1.02)
+    assert (ample, little) == (
+        1.0 + times.heartbeat,
+        1.0 + REPORT_SECONDS,
+    )
 
 
-def test_at_a_pressed_link_reports_go_with_heartbeats_and_ends_at_once() -> None:
+def test_overloaded_link_delays_reports_to_heartbeats_but_not_ends() -> None:
     times = lease_times(Bounds())
-    worker = working()
+    worker = worker_with_run()
     worker.sheds = True
     reports(worker, 1.0)
     worker.frame_received(1.02, "e", assignment(2, 1020, 6))
@@ -152,8 +155,8 @@
     assert len(reports(worker, 1.03)) == 1
 
 
-def test_a_session_with_an_entry_that_is_not_preferred_ends_once_its_runs_have() -> None:
-    worker = working()
+def test_session_with_an_entry_not_preferred_ends_after_its_runs() -> None:
+    worker = worker_with_run()
     reports(worker, 1.0)
     worker.retire(1.1, {"other"})
     assert [report.state for report in reports(worker, 1.2)] == [RunnerState.LEAVING]
@@ -166,8 +169,8 @@
     assert worker.session("e") is None
 
 
-def test_an_entry_that_is_preferred_again_gets_work_again() -> None:
-    worker = working()
+def test_entry_preferred_again_may_assign_again() -> None:
+    worker = worker_with_run()
     reports(worker, 1.0)
     worker.retire(1.1, {"other"})
     reports(worker, 1.2)
@@ -175,7 +178,7 @@
     assert [report.state for report in reports(worker, 1.4)] == [RunnerState.READY]
 
 
-def test_no_look_waits_before_the_runner_has_given_its_account() -> None:
+def test_polls_do_not_wait_before_the_first_heartbeat() -> None:
     worker = Worker(lease_times(Bounds()))
     worker.poll_answered(1.0, PollAnswer(0.9, [], []))
     assert worker.next_poll(1.1).wait == 0
@@ -187,7 +190,7 @@
     assert worker.next_poll(1.5).wait > 0
 
 
-def full_worker(entries: tuple[str, ...]) -> Worker:
+def nearly_full_worker(entries: tuple[str, ...]) -> Worker:
     """Return a worker whose runner has 1,000 of 8,000 left, with sessions from time 1.0."""
     worker = Worker(lease_times(Bounds()))
     status = RunnerStatus(
@@ -202,8 +205,8 @@
     return worker
 
 
-def shown(worker: Worker, entry: str, at: float) -> list[int]:
-    """Return the free processor of the reports that an entry is sent now."""
+def reported_free(worker: Worker, entry: str, at: float) -> list[int]:
+    """Return the free processor capacity in the reports sent to an entry now."""
     worker.prepare_frames(at)
     session = worker.session(entry)
     assert session is not None
@@ -211,59 +214,59 @@
     return [body.free.processor for body in bodies if isinstance(body, RunnerReport)]
 
 
-def test_scarce_room_is_shown_to_the_entry_with_the_most_urgent_task_alone() -> None:
-    worker = full_worker(("e0", "e1"))
+def test_scarce_capacity_is_offered_only_to_the_entry_with_the_most_urgent_task() -> None:
+    worker = nearly_full_worker(("e0", "e1"))
     need = Resources(1000, 10)
     worker.frame_received(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
     worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
-    assert shown(worker, "e1", 1.011) == [1000]
-    assert shown(worker, "e0", 1.012) == [0]
+    assert reported_free(worker, "e1", 1.011) == [1000]
+    assert reported_free(worker, "e0", 1.012) == [0]
 
 
-def test_room_that_an_entry_leaves_unused_is_shown_to_the_next() -> None:
-    worker = full_worker(("e0", "e1"))
+def test_capacity_left_unused_by_an_entry_is_offered_to_the_next() -> None:
+    worker = nearly_full_worker(("e0", "e1"))
     need = Resources(1000, 10)
     worker.frame_received(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
     worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
-    shown(worker, "e1", 1.011)
+    reported_free(worker, "e1", 1.011)
     assert worker.prepare_frames(1.012) is not None
-    assert shown(worker, "e0", 1.012 + OFFER_SECONDS)[-1] == 1000
+    assert reported_free(worker, "e0", 1.012 + OFFER_SECONDS)[-1] == 1000
 
 
-def test_plenty_of_room_is_shown_to_all() -> None:
-    worker = working()
+def test_ample_capacity_is_offered_to_all() -> None:
+    worker = worker_with_run()
     worker.greeting_answered(1.0, Hello("e1", "life", True, "hall", "", 1, 0), 1.0)
     worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(Resources(1000, 10), 100)]))
-    assert shown(worker, "e", 1.2) == [7000]
-    assert shown(worker, "e1", 1.4) == [7000]
+    assert reported_free(worker, "e", 1.2) == [7000]
+    assert reported_free(worker, "e1", 1.4) == [7000]
 
 
-def test_room_that_an_entry_declines_is_shown_to_the_next_at_once() -> None:
-    worker = full_worker(("e0", "e1"))
+def test_declined_capacity_is_offered_to_the_next_at_once() -> None:
+    worker = nearly_full_worker(("e0", "e1"))
     need = Resources(1000, 10)
     worker.frame_received(1.01, "e0", Frame(2, 0, 1010, 1010, [Want(need, 300)]))
     worker.frame_received(1.01, "e1", Frame(1, 0, 1010, 1010, [Want(need, 100)]))
-    shown(worker, "e1", 1.011)
+    reported_free(worker, "e1", 1.011)
     worker.frame_received(1.012, "e1", Frame(2, 0, 1012, 1012, [Decline()]))
-    assert shown(worker, "e0", 1.012)[-1] == 1000
+    assert reported_free(worker, "e0", 1.012)[-1] == 1000
 
 
-def test_an_entry_is_sent_no_report_that_says_nothing_new() -> None:
-    worker = full_worker(("e0", "e1"))
-    assert shown(worker, "e1", 1.1) == [1000]
-    assert shown(worker, "e1", 1.2) == []
+def test_unchanged_report_is_not_sent_again() -> None:
+    worker = nearly_full_worker(("e0", "e1"))
+    assert reported_free(worker, "e1", 1.1) == [1000]
+    assert reported_free(worker, "e1", 1.2) == []
 
 
-def test_an_assignment_is_followed_by_a_report_even_if_it_came_to_nothing() -> None:
-    worker = full_worker(("e0", "e1"))
-    shown(worker, "e1", 1.1)
+def test_assignment_is_followed_by_a_report_even_if_nothing_starts() -> None:
+    worker = nearly_full_worker(("e0", "e1"))
+    reported_free(worker, "e1", 1.1)
     wide = Assign("wide", 0, "spec", Resources(5000, 10), 400, 4000, [(0, 1)])
     worker.frame_received(1.2, "e1", Frame(1, 0, 1200, 1200, [wide]))
-    assert shown(worker, "e1", 1.2) == [1000]
+    assert reported_free(worker, "e1", 1.2) == [1000]
 
 
-def hold_looks(worker: Worker, runs: dict[RunId, int], until: float) -> list[object]:
-    """Show the worker the same percents every 50 ms; return what it does."""
+def poll_without_progress(worker: Worker, runs: dict[RunId, int], until: float) -> list[object]:
+    """Let polls show the same percents every 50 ms; return the effects."""
     effects: list[object] = []
     at = 1.05
     while at < until:
@@ -273,17 +276,17 @@
     return effects
 
 
-def test_a_runner_on_which_all_runs_stand_still_is_left_soon() -> None:
-    worker = full_worker(("e0",))
+def test_runs_are_stopped_soon_when_all_of_a_runner_stall() -> None:
+    worker = nearly_full_worker(("e0",))
     runs = {RunId(TaskId("job", 0, n), 1): 10 for n in range(7)}
     for run in runs:
         worker.start_answered(1.01, run, StartAnswer.STARTED)
-    effects = hold_looks(worker, runs, 1.3)
+    effects = poll_without_progress(worker, runs, 1.3)
     assert {e.run for e in effects if isinstance(e, StopRun)} == set(runs)
 
 
-def test_one_run_that_moves_shows_that_the_runner_does_not_hang() -> None:
-    worker = full_worker(("e0",))
+def test_runner_with_one_progressing_run_is_not_hung() -> None:
+    worker = nearly_full_worker(("e0",))
     runs = {RunId(TaskId("job", 0, n), 1): 10 for n in range(7)}
     for run in runs:
         worker.start_answered(1.01, run, StartAnswer.STARTED)
@@ -295,16 +298,16 @@
     assert not [e for e in effects if isinstance(e, StopRun)]
 
 
-def test_a_look_does_not_wait_while_it_is_to_settle_a_doubtful_start() -> None:
-    worker = working()
+def test_poll_does_not_wait_while_a_start_is_unanswered() -> None:
+    worker = worker_with_run()
     assert worker.next_poll(1.05).wait > 0
     worker.start_answered(1.06, RUN, StartAnswer.UNKNOWN)
     assert worker.next_poll(1.07).wait == 0
 
 
 def two_runs_at_half() -> Worker:
-    """Return a worker with two runs at work, half done at 1.2 as looks in a row show."""
-    worker = working()
+    """Return a worker with two running runs that consecutive polls show half done at 1.2."""
+    worker = worker_with_run()
     worker.frame_received(1.0, "e", assignment(2, 1000, 1))
     second = RunId(TaskId("job2", 0, 0), 1)
     for run in (RUN, second):
@@ -315,11 +318,11 @@
     return worker
 
 
-def test_an_answer_that_was_read_late_does_not_show_that_the_runner_stands_still() -> None:
+def test_answer_read_late_does_not_count_as_a_hung_runner() -> None:
     worker = two_runs_at_half()
     second = RunId(TaskId("job2", 0, 0), 1)
     worker.next_poll(1.208)
-    # This process stood still: what the answer shows is from before.
+    # This process was paused, so the answer is outdated.
     old = PollAnswer(1.208, [RunningRun(RUN, 50), RunningRun(second, 50)], [])
     effects = worker.poll_answered(1.6, old)
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
@@ -329,8 +332,8 @@
     assert len([effect for effect in effects if isinstance(effect, StopRun)]) == 2
 
 
-def test_a_short_stand_still_before_a_long_look_is_read_is_not_the_runners() -> None:
-    """Under wide bounds a look may wait longer than a runner takes to count as hung."""
+def test_short_pause_before_a_long_poll_is_read_does_not_count_as_a_hung_runner() -> None:
+    """With wide bounds a poll may wait longer than it takes a runner to count as hung."""
     worker = Worker(lease_times(Bounds(resend=4.0, hold_max=2.0, stop=0.2)))
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
@@ -347,16 +350,16 @@
         worker.next_poll(at)
         worker.poll_answered(at, PollAnswer(at, [RunningRun(run, 50) for run in runs], []))
     worker.next_poll(1.208)
-    # The runner answered at once; this process stood still for 0.13 s before it read that.
+    # The runner answered at once; this process was paused for 0.13 s before it read the answer.
     old = PollAnswer(1.208, [RunningRun(run, 50) for run in runs], [])
     effects = worker.poll_answered(1.338, old)
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
 
 
-@pytest.mark.parametrize("seen_by", ["answer", "look"])
-def test_a_stand_still_before_a_start_is_known_is_not_the_runners(seen_by: str) -> None:
-    """The orders were decided at 1.0; they were carried out, or heard of, as the process woke."""
-    worker = working()
+@pytest.mark.parametrize("seen_by", ["answer", "poll"])
+def test_pause_before_a_start_is_known_does_not_count_as_a_hung_runner(seen_by: str) -> None:
+    """Orders decided at 1.0 were executed, or their answers read, only after the pause."""
+    worker = worker_with_run()
     second = RunId(TaskId("more", 0, 0), 1)
     more = Assign("more", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
     worker.frame_received(1.001, "e", Frame(2, 0, 1001, 1001, [more]))
@@ -366,14 +369,14 @@
     stopped: list[object] = []
     for at in (1.272, 1.284, 1.296, 1.308):
         worker.next_poll(at)
-        look = PollAnswer(at, [RunningRun(RUN, 0), RunningRun(second, 0)], [])
-        stopped += [e for e in worker.poll_answered(at + 0.001, look) if isinstance(e, StopRun)]
+        answer = PollAnswer(at, [RunningRun(RUN, 0), RunningRun(second, 0)], [])
+        stopped += [e for e in worker.poll_answered(at + 0.001, answer) if isinstance(e, StopRun)]
     assert stopped == []
 
 
-def test_a_session_that_ended_after_it_was_named_in_a_greeting_is_not_gone_on_with() -> None:
-    """The entry stood still with the greeting unread; to it, the session goes on."""
-    worker = working()
+def test_session_that_ended_after_the_greeting_is_not_resumed() -> None:
+    """The entry was paused with the greeting unread, so for it the session still exists."""
+    worker = worker_with_run()
     worker.start_answered(1.01, RUN, StartAnswer.STARTED)
     worker.tick(1.0 + lease_times(Bounds()).session + 0.01)
     assert worker.session("e") is None
@@ -384,9 +387,9 @@
     assert worker.session("e") is not None
 
 
-def test_a_run_that_a_partial_answer_does_not_show_is_not_gone() -> None:
-    """The row that could not be read may be the run's, or its end's."""
-    worker = working()
+def test_run_missing_from_a_partial_answer_is_not_gone() -> None:
+    """The unreadable row may be that of the run or of its end."""
+    worker = worker_with_run()
     worker.start_answered(1.01, RUN, StartAnswer.STARTED)
     worker.poll_answered(1.2, PollAnswer(1.1, [], [], partial=True))
     assert worker.runs == 1
@@ -394,18 +397,18 @@
     assert worker.runs == 0
 
 
-def test_a_doubtful_start_is_not_judged_by_a_partial_answer() -> None:
-    worker = working()
+def test_partial_answer_does_not_decide_on_an_unanswered_start() -> None:
+    worker = worker_with_run()
     worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN)
     assert StopRun(RUN) not in worker.poll_answered(1.2, PollAnswer(1.1, [], [], partial=True))
     assert StopRun(RUN) in worker.poll_answered(1.4, PollAnswer(1.3, [], []))
 
 
-@pytest.mark.parametrize("told", ["before", "while-stopping"])
-def test_a_run_whose_end_may_have_been_unread_is_not_said_to_have_never_run(told: str) -> None:
-    worker = working()
+@pytest.mark.parametrize("unread_end", ["before", "while-stopping"])
+def test_run_whose_end_may_be_unreadable_is_not_reported_as_not_started(unread_end: str) -> None:
+    worker = worker_with_run()
     worker.start_answered(1.08, RUN, StartAnswer.UNKNOWN)
-    if told == "while-stopping":
+    if unread_end == "while-stopping":
         assert StopRun(RUN) in worker.poll_answered(1.12, PollAnswer(1.11, [], []))
     worker.poll_answered(1.16, PollAnswer(1.15, [], [], partial=True, listed=4, unread_end=True))
     worker.poll_answered(1.21, PollAnswer(1.2, [], []))
@@ -416,7 +419,7 @@
     assert worker.next_poll(1.6).last_seen == 4
 
 
-def test_a_partial_answer_does_not_show_that_nothing_foreign_runs() -> None:
+def test_partial_answer_does_not_rule_out_foreign_runs() -> None:
     worker = Worker(lease_times(Bounds()))
     status = RunnerStatus(
         RunnerIncarnation("i-1"), "svc", "hall", Resources(8000, 8000), False, None
@@ -428,7 +431,7 @@
     assert worker.next_poll(1.3).wait > 0
 
 
-def test_an_end_that_is_none_of_ours_is_taken_note_of() -> None:
-    worker = working()
+def test_end_of_a_foreign_run_is_acknowledged() -> None:
+    worker = worker_with_run()
     worker.poll_answered(1.2, PollAnswer(1.1, [RunningRun(RUN, 2)], [], listed=7))
     assert worker.next_poll(1.3).last_seen == 7
