--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
@@ -79,7 +79,7 @@
     LATE = "late"
     UNHEALTHY = "unhealthy"
     INVALID = "invalid"
-    OTHER_LIFE = "other_life"
+    OTHER_INCARNATION = "other_life"
     UNKNOWN = "unknown"
     NOT_SENT = "not_sent"
     EXPIRED = "expired"
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -65,7 +65,7 @@
 IDLE_POLL_WAIT_SHARE = 0.45
 """Share of the runner's lease for which a poll may wait while no run is running."""
 
-MIN_SECONDS = 0.001
+MIN_DURATION = 0.001
 """Minimum duration in seconds that a run is counted with."""
 
 UNREACHABLE_POLLS = 2
@@ -137,7 +137,7 @@
         """Stop runs that have expired or would end sooner elsewhere; log a change of health."""
         effects: list[Effect] = []
         for run in self.table:
-            effects += self._check(now, run)
+            effects += self._check_run(now, run)
         effects += self._stop_if_slow(now)
         level = self.health.level(now)
         if level is not self.level:
@@ -155,7 +155,7 @@
             run.observed_at += seconds
 
     def leave(self) -> None:
-        """Start nothing more."""
+        """Start no more runs."""
         self.leaving = True
 
     def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
@@ -308,9 +308,9 @@
             return []
         return self._ended(run, End.LOST, "runner_replaced")
 
-    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
-        """Handle a poll without an answer, or one that another id answered (`other_life`)."""
-        if other_life:
+    def poll_failed(self, now: float, *, other_incarnation: bool = False) -> list[Effect]:
+        """Handle a poll without an answer, or one that another id answered (`other_incarnation`)."""
+        if other_incarnation:
             return self._runner_replaced(now, None, answered=self.clean)
         effects: list[Effect] = []
         self.losses.poll_failed(now)
@@ -340,7 +340,7 @@
                 return self._no_room(run)
             case StartAnswer.UNKNOWN:
                 return self._start_unanswered(now, run)
-            case StartAnswer.OTHER_LIFE if not run.is_orphaned:
+            case StartAnswer.OTHER_INCARNATION if not run.is_orphaned:
                 return self._runner_replaced(now, None)
             case StartAnswer.UNHEALTHY:
                 self.health.suspect(now)
@@ -443,7 +443,7 @@
             return []
         return [*stop(now, run, End.STOPPED, reason, since)]
 
-    def _check(self, now: float, run: Run) -> list[Effect]:
+    def _check_run(self, now: float, run: Run) -> list[Effect]:
         if run.phase is Phase.STOPPING:
             return [*stop_again(now, run)]
         if run.phase is Phase.RUNNING and now > run.expires:
@@ -483,7 +483,7 @@
         end = _ENDS[finished.end]
         if finished.end is RunEnd.DONE:
             note_done(now, observed_at, run, self.health)
-            duration = max(observed_at - run.ordered_at, MIN_SECONDS)
+            duration = max(observed_at - run.ordered_at, MIN_DURATION)
             self.health.done(now, run.estimate / duration, run.ordered_at)
         elif finished.end is RunEnd.FAILED:
             self.health.failed(now)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -78,8 +78,8 @@
 
     def report_silent(self, now: float, status: RunnerStatus | None, table: RunTable) -> None:
         """Report that several consecutive polls failed while runs were running."""
-        if status is not None and not status.leaving and _own(table):
-            self._reported = self._loss(now, status)
+        if status is not None and not status.leaving and _current_runs(table):
+            self._reported = self._loss_id(now, status)
             self._news.append(RunnerSilent(self._reported, *self._affected(now, table)))
 
     def report_lost(self, now: float, status: RunnerStatus | None, table: RunTable) -> Log:
@@ -90,7 +90,7 @@
         self, now: float, status: RunnerStatus | None, table: RunTable
     ) -> list[Log]:
         """Report that the current incarnation has ended and another one answers."""
-        logs = [self._lose(now, status, table, REPLACED)] if _own(table) else []
+        logs = [self._lose(now, status, table, REPLACED)] if _current_runs(table) else []
         if status is not None and status.leaving:
             # It announced its end meanwhile, so it is not lost.
             self._withdraw()
@@ -110,12 +110,12 @@
             # It announced its end meanwhile, so it is not lost.
             self._withdraw()
         runner = str(status.runner) if status else ""
-        return runner_lost_log(runner, how, self._since(now), _own(table))
+        return runner_lost_log(runner, how, self._silence_start(now), _current_runs(table))
 
     def _report(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
-        self._reported = self._loss(now, status)
+        self._reported = self._loss_id(now, status)
         lost = RunnerLost(self._reported, *self._affected(now, table))
-        started_tasks = {run.id.task for run in _own(table) if run.has_started}
+        started_tasks = {run.id.task for run in _current_runs(table) if run.has_started}
         started = [task for task in lost.tasks if task in started_tasks]
         if ended:
             self._news.append(replace(lost, ended=started))
@@ -129,25 +129,29 @@
             self._news.append(RunnerReturned(self._reported))
             self._reported = None
 
-    def _since(self, now: float) -> float:
+    def _silence_start(self, now: float) -> float:
         return now if self._silent_since is None else self._silent_since
 
-    def _loss(self, now: float, status: RunnerStatus) -> LossId:
-        return LossId.of(status.runner, int(self._since(now) * 1000))
+    def _loss_id(self, now: float, status: RunnerStatus) -> LossId:
+        return LossId.of(status.runner, int(self._silence_start(now) * 1000))
 
     def _affected(self, now: float, table: RunTable) -> tuple[list[TaskId], list[str], list[int]]:
         """Return the affected tasks in order, with the queue and the milliseconds of work of each.
 
         Runs ordered after the first failed poll are left out: they can't have crashed the runner.
         """
-        since = self._since(now)
-        runs = (run for run in _own(table) if run.decided_at < since or self._silent_since is None)
+        since = self._silence_start(now)
+        runs = (
+            run
+            for run in _current_runs(table)
+            if run.decided_at < since or self._silent_since is None
+        )
         newest = {run.id.task: run for run in sorted(runs, key=lambda run: run.decided_at)}
         tasks = sorted(newest)
         worked = [max(0, round((since - newest[task].decided_at) * 1000)) for task in tasks]
         return tasks, [newest[task].queue for task in tasks], worked
 
 
-def _own(table: RunTable) -> list[Run]:
+def _current_runs(table: RunTable) -> list[Run]:
     """Return the runs ordered from the current incarnation, which excludes orphaned ones."""
     return [run for run in table if not run.is_orphaned]
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
@@ -47,7 +47,7 @@
     progressed_at: float = 0.0
     """Time at which `percent` last increased."""
     observed_at: float = 0.0
-    """Time of the moment that the last poll showed."""
+    """Time of the state that the last poll showed."""
     end_after_stop: End = End.STOPPED
     """The end to report to the entry once it is stopped."""
     unwanted_since: float = 0.0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -82,9 +82,9 @@
         return len(self._control.table)
 
     def echo_age(self, now: float) -> float | None:
-        """Return the age within which over a quarter of the held sessions were echoed, in seconds.
+        """Return the lower-quartile echo age of held sessions in seconds; None without any.
 
-        None without any. Other sessions are not renewed all the time.
+        Other sessions are not renewed all the time.
         """
         held = (link.session for name, link in self._links.items() if self._is_held(name))
         return good_echo_age(now, (session for session in held if session is not None))
@@ -245,9 +245,9 @@
         """Handle the runner's lists of running and finished runs."""
         return self._control.poll_answered(now, answer)
 
-    def poll_failed(self, now: float, *, other_life: bool = False) -> list[Effect]:
+    def poll_failed(self, now: float, *, other_incarnation: bool = False) -> list[Effect]:
         """Handle a poll without an answer, or one that another incarnation answered."""
-        return self._control.poll_failed(now, other_life=other_life)
+        return self._control.poll_failed(now, other_incarnation=other_incarnation)
 
     def may_send(self, now: float, id_: RunId, entry: str) -> bool:
         """Whether an order to start may still be sent; to be checked right before sending it.
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -296,7 +296,9 @@
                 continue
             if isinstance(answer, Superseded):
                 continue
-            self._act(self._worker.poll_failed(now, other_life=isinstance(answer, OtherLife)))
+            self._act(
+                self._worker.poll_failed(now, other_incarnation=isinstance(answer, OtherLife))
+            )
             # The first failure may be one lost answer, and the lease is running: look at once.
             failures += 1
             if failures > 1:
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -106,7 +106,7 @@
     found.heartbeat_received(1.0, FIRST)
     if answered:
         found.poll_answered(1.1, PollAnswer(1.05, [], []))
-    found.poll_failed(1.2, other_life=True)
+    found.poll_failed(1.2, other_incarnation=True)
     assert found.incarnations.classify(replace(FIRST, sequence=6)) is expected
 
 
--- a/testing/core/leased/test_lost_polls.py
+++ b/testing/core/leased/test_lost_polls.py
@@ -40,9 +40,11 @@
     """The task is started right after a failed poll that the runner survived."""
     poll_failed = Worker.poll_failed
 
-    def delayed_poll_failed(self: Worker, now: float, *, other_life: bool = False) -> list[Effect]:
+    def delayed_poll_failed(
+        self: Worker, now: float, *, other_incarnation: bool = False
+    ) -> list[Effect]:
         # A lost poll is noticed after the orders that were sent while it was awaited.
-        return poll_failed(self, now + STEP / 2, other_life=other_life)
+        return poll_failed(self, now + STEP / 2, other_incarnation=other_incarnation)
 
     monkeypatch.setattr(Worker, "poll_failed", delayed_poll_failed)
     fleet = LossyPollFleet(entries=2, targets=12)
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -131,7 +131,7 @@
         assert isinstance(await runner.look(FIRST_LOOK), PollAnswer)
         standin.life = "i-2"
         assert isinstance(await runner.look(FIRST_LOOK), OtherLife)
-        assert await runner.start(order(), always) is StartAnswer.OTHER_LIFE
+        assert await runner.start(order(), always) is StartAnswer.OTHER_INCARNATION
 
     play(scene)
 
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -403,7 +403,7 @@
         if not runner.up or runner.mute:
             self._act_target(name, worker.poll_failed(self.now))
         elif call.incarnation is not None and not call.incarnation.has_same_id(runner.named(name)):
-            self._act_target(name, worker.poll_failed(self.now, other_life=True))
+            self._act_target(name, worker.poll_failed(self.now, other_incarnation=True))
         elif not runner.hears(call.token):
             self._act_target(name, worker.poll_failed(self.now))
         else:
@@ -440,7 +440,7 @@
         """Let a runner carry an order out that was meant so."""
         runner = self.runners[name]
         if call.incarnation is not None and not call.incarnation.has_same_id(runner.named(name)):
-            return StartAnswer.OTHER_LIFE
+            return StartAnswer.OTHER_INCARNATION
         meant = replace(order, until=self._until(name, call, order.until))
         return runner.start(self.now, meant, call.token)
 
