--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -309,7 +309,7 @@
         return self._ended(run, End.LOST, "runner_replaced")
 
     def poll_failed(self, now: float, *, other_incarnation: bool = False) -> list[Effect]:
-        """Handle a poll without an answer, or one that another id answered (`other_incarnation`)."""
+        """Handle a poll that got no answer, or was answered by another id (`other_incarnation`)."""
         if other_incarnation:
             return self._runner_replaced(now, None, answered=self.clean)
         effects: list[Effect] = []
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
@@ -41,7 +41,7 @@
         self._end = max(self._end, end)
 
     def extend_for_late_order(self, now: float) -> None:
-        """Extend the lease, as the runner's next incarnation may just have executed a late order."""
+        """Extend the lease, as the next incarnation may just have executed a late order."""
         self._end = max(self._end, now + self._times.strayed)
 
     def clock_paused(self, seconds: float) -> None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -78,7 +78,7 @@
 
     def report_silent(self, now: float, status: RunnerStatus | None, table: RunTable) -> None:
         """Report that several consecutive polls failed while runs were running."""
-        if status is not None and not status.leaving and _current_runs(table):
+        if status is not None and not status.leaving and _own_runs(table):
             self._reported = self._loss_id(now, status)
             self._news.append(RunnerSilent(self._reported, *self._affected(now, table)))
 
@@ -90,7 +90,7 @@
         self, now: float, status: RunnerStatus | None, table: RunTable
     ) -> list[Log]:
         """Report that the current incarnation has ended and another one answers."""
-        logs = [self._lose(now, status, table, REPLACED)] if _current_runs(table) else []
+        logs = [self._lose(now, status, table, REPLACED)] if _own_runs(table) else []
         if status is not None and status.leaving:
             # It announced its end meanwhile, so it is not lost.
             self._withdraw()
@@ -110,12 +110,12 @@
             # It announced its end meanwhile, so it is not lost.
             self._withdraw()
         runner = str(status.runner) if status else ""
-        return runner_lost_log(runner, how, self._silence_start(now), _current_runs(table))
+        return runner_lost_log(runner, how, self._silence_start(now), _own_runs(table))
 
     def _report(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
         self._reported = self._loss_id(now, status)
         lost = RunnerLost(self._reported, *self._affected(now, table))
-        started_tasks = {run.id.task for run in _current_runs(table) if run.has_started}
+        started_tasks = {run.id.task for run in _own_runs(table) if run.has_started}
         started = [task for task in lost.tasks if task in started_tasks]
         if ended:
             self._news.append(replace(lost, ended=started))
@@ -142,9 +142,7 @@
         """
         since = self._silence_start(now)
         runs = (
-            run
-            for run in _current_runs(table)
-            if run.decided_at < since or self._silent_since is None
+            run for run in _own_runs(table) if run.decided_at < since or self._silent_since is None
         )
         newest = {run.id.task: run for run in sorted(runs, key=lambda run: run.decided_at)}
         tasks = sorted(newest)
@@ -152,6 +150,6 @@
         return tasks, [newest[task].queue for task in tasks], worked
 
 
-def _current_runs(table: RunTable) -> list[Run]:
+def _own_runs(table: RunTable) -> list[Run]:
     """Return the runs ordered from the current incarnation, which excludes orphaned ones."""
     return [run for run in table if not run.is_orphaned]
