--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -82,9 +82,9 @@
         return len(self._control.table)
 
     def echo_age(self, now: float) -> float | None:
-        """Return the age within which over a quarter of the held sessions were echoed, in seconds.
+        """Return the lower-quartile echo age of held sessions in seconds; None without any.
 
-        None without any. Other sessions are not renewed all the time.
+        Other sessions are not renewed all the time.
         """
         held = (link.session for name, link in self._links.items() if self._is_held(name))
         return lower_quartile_echo_age(now, (session for session in held if session is not None))
