--- a/packages/paddleshunt-core/src/paddleshunt_core/calls.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/calls.py
@@ -1,7 +1,7 @@
-"""Calls: requests of callers that wait in an entry for the answer of a home.
+"""Requests of callers that wait in an entry for the answer of a home.
 
-An entry keeps nothing else of a submission. As an id can be accepted by its home only, and only
-once, an entry may send it there again whenever the answer stays out.
+This is an entry's only state about a submission. Only its home can accept an id, and only once, so
+an entry may resend a submission to its home whenever there is no answer.
 """
 
 from collections.abc import Callable
@@ -13,17 +13,17 @@
 from paddleshunt_core.messages import Absent, Answer, Body, Query, Running, Submit
 from paddleshunt_core.outcomes import NotAccepted, Outcome, Unknown
 
-FIRST_PROBE = 1.0
-"""Seconds without an answer after which an entry asks the home."""
+FIRST_QUERY_SECONDS = 1.0
+"""Seconds without an answer after which an entry first queries the home."""
 
-LAST_PROBE = 8.0
-"""Longest time in seconds between two questions; the time doubles up to it."""
+MAX_QUERY_SECONDS = 8.0
+"""Maximum seconds between two queries; the interval doubles up to it."""
 
-ANSWER_GRACE = 1.0
-"""Seconds past the deadline for which an entry still waits for the home's answer."""
+ANSWER_GRACE_SECONDS = 1.0
+"""Seconds after the deadline for which an entry still waits for the home's answer."""
 
 LOOK_UP_SECONDS = 2.0
-"""Seconds that a question for a submission's state may take."""
+"""Maximum seconds for a query of a submission's state."""
 
 
 @dataclass(slots=True)
@@ -34,8 +34,8 @@
     digest: bytes
     submit: Submit | None
     deadline: float
-    probe_at: float
-    probe_after: float = FIRST_PROBE
+    query_at: float
+    query_interval: float = FIRST_QUERY_SECONDS
     callers: list[int] = field(default_factory=list)
 
     @property
@@ -48,7 +48,7 @@
 
 @final
 class Calls:
-    """The waiting calls of one entry; a look-up of a state is a call with an empty digest."""
+    """Waiting calls of one entry; a query for a submission's state has an empty digest."""
 
     def __init__(self) -> None:
         self._calls: dict[CallKey, _Call] = {}
@@ -62,40 +62,40 @@
         """Send a submission to its home; the caller waits for the outcome."""
         key = (message.submission, message.digest)
         deadline = now + message.deadline_ms / 1000
-        call = _Call(home, address, *key, message, deadline, now + FIRST_PROBE)
+        call = _Call(home, address, *key, message, deadline, now + FIRST_QUERY_SECONDS)
         return self._open(key, call, caller, message)
 
     def look_up(
         self, now: float, caller: int, home: Incarnation, address: str, submission: str
     ) -> list[Effect]:
-        """Ask a home for the state of a submission; the caller waits for that only."""
+        """Query a home for the state of a submission; the caller waits for the state only."""
         key = (submission, b"")
-        deadline = now + LOOK_UP_SECONDS - ANSWER_GRACE
-        call = _Call(home, address, *key, None, deadline, now + FIRST_PROBE)
+        deadline = now + LOOK_UP_SECONDS - ANSWER_GRACE_SECONDS
+        call = _Call(home, address, *key, None, deadline, now + FIRST_QUERY_SECONDS)
         return self._open(key, call, caller, Query(submission))
 
     def service_of(self, message: Answer) -> str:
-        """Return the service of the submission that an answer is for; empty if none waits."""
+        """Return the service of an answer's submission; empty if no call waits for it."""
         call = self._calls.get((message.submission, message.digest))
         return call.submit.service if call is not None and call.submit is not None else ""
 
     def answered(self, message: Answer) -> list[Effect]:
-        """Pass an outcome to those who wait for it."""
+        """Answer the callers that wait for an outcome."""
         effects: list[Effect] = []
         for digest in {message.digest, b""}:
             effects += self._reply((message.submission, digest), message)
         return effects
 
     def running(self, now: float, message: Running) -> list[Effect]:
-        """Note that the home works on it: look-ups have their answer, others wait on."""
+        """Answer state queries for a running submission and query its home less often."""
         call = self._calls.get((message.submission, message.digest))
         if call is not None:
-            call.probe_after = min(LAST_PROBE, call.probe_after * 2)
-            call.probe_at = now + call.probe_after
+            call.query_interval = min(MAX_QUERY_SECONDS, call.query_interval * 2)
+            call.query_at = now + call.query_interval
         return self._reply((message.submission, b""), message)
 
     def absent(self, now: float, message: Absent) -> list[Effect]:
-        """Send a submission again that did not arrive."""
+        """Resend a submission that did not reach its home."""
         call = self._calls.get((message.submission, message.digest))
         if call is None:
             return []
@@ -104,7 +104,7 @@
         left_ms = int((call.deadline - now) * 1000)
         if left_ms <= 0:
             return []
-        again = Submit(
+        resent = Submit(
             call.submission,
             call.submit.service,
             call.submit.repeatable,
@@ -112,10 +112,10 @@
             call.digest,
             call.submit.tasks,
         )
-        return [Send(call.home, call.address, again)]
+        return [Send(call.home, call.address, resent)]
 
     def undelivered(self, to: Incarnation, body: Body) -> list[Effect]:
-        """Answer the callers of a message that provably never left this process."""
+        """Answer the callers of a message that was never sent."""
         if not isinstance(body, Submit | Query):
             return []
         call = self._calls.get((body.submission, body.digest))
@@ -124,15 +124,15 @@
         return self._end(call, NotAccepted("the home can't be reached from this entry", 1000))
 
     def tick(self, now: float, has_ended: Callable[[Incarnation], bool]) -> list[Effect]:
-        """Ask homes that are silent, and answer calls whose home has ended or whose time is up."""
+        """Query silent homes, and answer calls whose home has ended or whose deadline passed."""
         effects: list[Effect] = []
         for call in list(self._calls.values()):
             if has_ended(call.home):
                 effects += self._end(call, Unknown(f"its home on {call.home.host} has ended"))
-            elif now > call.deadline + ANSWER_GRACE:
-                effects += self._end(call, _late(call))
-            elif now >= call.probe_at:
-                call.probe_at = now + call.probe_after
+            elif now > call.deadline + ANSWER_GRACE_SECONDS:
+                effects += self._end(call, _timeout_outcome(call))
+            elif now >= call.query_at:
+                call.query_at = now + call.query_interval
                 effects.append(Send(call.home, call.address, Query(call.submission, call.digest)))
         return effects
 
@@ -156,7 +156,7 @@
         return self._reply((call.submission, call.digest), answer)
 
 
-def _late(call: _Call) -> Outcome:
+def _timeout_outcome(call: _Call) -> Outcome:
     if call.submit is None:
         return NotAccepted("the home did not answer", 1000)
     return Unknown("the home did not answer by the deadline")
--- a/packages/paddleshunt-core/src/paddleshunt_core/effects.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/effects.py
@@ -1,4 +1,4 @@
-"""What a state machine asks its surroundings to do."""
+"""Effects that a state machine returns for the surrounding process to carry out."""
 
 from dataclasses import dataclass
 from typing import final
@@ -12,7 +12,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send `body` to a peer. A send that fails locally comes back as `undelivered`."""
+    """Send `body` to a peer. A send that fails locally is reported to `undelivered`."""
 
     to: Incarnation
     address: str
@@ -22,7 +22,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Hand a task to the runner; its end comes back as `finished`. `timeout` is in seconds."""
+    """Start a task on the runner; its end is reported to `finished`. `timeout` is in seconds."""
 
     submission: str
     service: str
@@ -43,7 +43,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WriteAllotment:
-    """Write a row's allotment to the store if it still holds the one that this one follows."""
+    """Write a row's allotment if the store still holds the revision that precedes it."""
 
     allotment: Allotment
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/entry.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/entry.py
@@ -30,7 +30,7 @@
 from paddleshunt_core.outcomes import NotAccepted, Outcome, Unknown, outcome_tag
 from paddleshunt_core.routing import NoHome, Router
 from paddleshunt_core.table import TableController, TableDocument
-from paddleshunt_core.views import ENDED_TOLD, Views
+from paddleshunt_core.views import ENDED_SENT, Views
 
 NEWS_PER_EXCHANGE = 16
 """Targets an entry tells another entry of in one message, those with changes first."""
@@ -344,7 +344,7 @@
         body = Exchange(
             table_revision=self.table.revision,
             members=self._news(now, peer, full=full),
-            ended=self.members.ended[-ENDED_TOLD:],
+            ended=self.members.ended[-ENDED_SENT:],
             reply=reply,
             table=msgspec.json.encode(self.table.document) if full else b"",
             allotments=[msgspec.json.encode(a) for a in self._divider.all()] if full else [],
--- a/packages/paddleshunt-core/src/paddleshunt_core/events.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/events.py
@@ -1,4 +1,4 @@
-"""Events that a state machine has its surroundings write to the log."""
+"""Log lines that a state machine returns for the surrounding process to write."""
 
 from dataclasses import dataclass, field
 from typing import final
@@ -7,7 +7,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Write one line to the log."""
+    """One log line: an event, the submission it is about (empty if none) and its fields."""
 
     event: str
     submission: str = ""
@@ -15,5 +15,5 @@
 
 
 def note(event: str, submission: str = "", /, **fields: str | int | float) -> Log:
-    """Return the line of one event about a submission, or about none."""
+    """Return the log line for an event, about `submission` if given."""
     return Log(event, submission, fields)
--- a/packages/paddleshunt-core/src/paddleshunt_core/ids.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/ids.py
@@ -1,7 +1,7 @@
-"""Names that decide who may run what: incarnations of a process and ids of submissions.
+"""Incarnations of processes and ids of submissions.
 
-A submission id names the one incarnation that may ever accept it, so two processes can never both
-believe that a submission is theirs.
+A submission id names the only incarnation that may accept it, so no two processes can both accept
+the same submission.
 """
 
 import base64
@@ -13,7 +13,7 @@
 import xxhash
 
 MAX_ID_LENGTH = 200
-"""Characters an id may have; a longer text is refused before it is decoded."""
+"""Maximum characters of an id; longer texts are refused without being decoded."""
 
 NONCE_BYTES = 8
 _CHECK_BYTES = 4
@@ -21,9 +21,9 @@
 
 @final
 class Incarnation(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One run of one process: the host it runs on and the boot stamp it took when it started.
+    """One run of a process: its host and the boot stamp it took when it started.
 
-    Boot stamps of a host compare as text: a later start has the greater stamp.
+    Boot stamps of a host are compared as text; a later start has a greater stamp.
     """
 
     host: str
@@ -35,7 +35,7 @@
 
 @final
 class SubmissionId(msgspec.Struct, frozen=True, array_like=True):
-    """What an id says: its home, when it was minted by the home's own clock (ms), and a nonce."""
+    """Content of an id: its home, the home's clock when it was minted (ms), and a nonce."""
 
     home: Incarnation
     minted_ms: int
@@ -44,7 +44,7 @@
 
 @final
 class InvalidId(msgspec.Struct, frozen=True):
-    """The text is no submission id of ours: cut, altered or made up."""
+    """The text is not a valid submission id: truncated, altered or made up."""
 
     reason: str
 
@@ -65,7 +65,7 @@
 
 
 def parse_id(text: str) -> SubmissionId | InvalidId:
-    """Return what `text` says, or why it is no id of ours."""
+    """Return the content of the id in `text`, or why it is invalid."""
     if len(text) > MAX_ID_LENGTH:
         return InvalidId(f"longer than {MAX_ID_LENGTH} characters")
     try:
--- a/packages/paddleshunt-core/src/paddleshunt_core/idwindow.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/idwindow.py
@@ -1,7 +1,7 @@
-"""When a home may accept an id: from shortly before it was minted until its window has passed.
+"""The time in which a home may accept an id: from shortly before its minting to its window's end.
 
-A home keeps what it knows of an id until the window has passed by its own clock, so forgetting
-can't run anything twice.
+A home keeps an id's record until the window has passed by its own clock, so dropping the record
+can't cause a second run.
 """
 
 from dataclasses import dataclass
@@ -11,20 +11,20 @@
 from paddleshunt_core.outcomes import NotAccepted, Outcome, Unknown
 
 SKEW_RETRY_MS = 1000
-"""When a caller is told to come back with an id from the future, in milliseconds."""
+"""Milliseconds after which a caller may retry with an id that was minted in the future."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class IdWindow:
-    """The window of the ids that name one home. `window` and `skew` are seconds."""
+    """The acceptance window of one home's ids. `window` and `skew` are seconds."""
 
     home: Incarnation
     window: float
     skew: float
 
     def rejection(self, now: float, name: str) -> Outcome | None:
-        """Return why an id without a record can't be accepted now, or None if it can."""
+        """Return why an id without a record can't be accepted now, or None if it can be."""
         parsed = parse_id(name)
         if isinstance(parsed, InvalidId) or parsed.home != self.home:
             return NotAccepted("the id names another home", 0)
@@ -36,7 +36,7 @@
         return None
 
     def forget_at(self, now: float, name: str) -> float:
-        """Return when the id can no longer be accepted, whatever this home remembers."""
+        """Return the time in seconds from which the id can't be accepted, even without a record."""
         parsed = parse_id(name)
         if isinstance(parsed, InvalidId):
             return now + self.window
--- a/packages/paddleshunt-core/src/paddleshunt_core/links.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/links.py
@@ -1,4 +1,4 @@
-"""What a home knows of one target: its gate's message numbers, the tasks there, and its load."""
+"""A home's state for one target: its gate's message numbers, its tasks there and its load."""
 
 from dataclasses import dataclass, field
 from typing import final
@@ -9,25 +9,25 @@
 TaskKey = tuple[str, int]
 
 FULL_SECONDS = 1.0
-"""Seconds after a refusal for which a home waits for the gate to say that it has room."""
+"""Maximum seconds for which a home waits, after a refusal, for a report of free slots."""
 
 UNRESPONSIVE_SECONDS = 0.3
-"""Seconds without an answer to an inquiry after which a gate gets no new work."""
+"""Seconds without an answer to an inquiry after which a gate gets no new tasks."""
 
 LOAD_MEMORY = 0.5
-"""Seconds after which the reported load of other homes counts for nothing (a usual task)."""
+"""Seconds after which the reported load of other homes is ignored: a typical task's length."""
 
 
 @final
 @dataclass(slots=True)
 class Outstanding:
-    """A task sent to a gate: in which message, when, and when it was last asked about."""
+    """A task sent to a gate: the message's number, the time, and the last inquiry's time."""
 
     seq: int
     sent: float
     asked: float
     wait: float = 0.0
-    """Seconds until the task is asked about again; 0 before the first time."""
+    """Seconds between inquiries about the task; 0 before the first."""
     started: bool = False
 
 
@@ -42,22 +42,22 @@
     load: Load
     load_at: float
     clock_ahead: float
-    """The gate's clock minus the home's, in seconds, as last heard."""
+    """The gate's clock minus the home's, in seconds, by the last message."""
     suspect: bool = False
     leaving: bool = False
     last_report: int = 0
     acked: int = 0
     inquiry: int = 0
-    """Number of the inquiry that must be answered before reports count as complete; 0 if none."""
+    """Number of the inquiry to be answered before reports are acknowledged again; 0 if none."""
     asked_at: float | None = None
-    """When the first inquiry was sent since the gate's last report."""
+    """When the first inquiry since the gate's last report was sent; None if none was."""
     gap: bool = False
     own_in_load: int = 0
     last_sent: float = 0.0
     seen_seq: int = 0
-    """Highest number of this home's messages that the gate has said it has seen."""
+    """Highest number of this home's messages that the gate has reported as seen."""
     full_until: float = 0.0
-    """Until when nothing is sent, as the gate refused for lack of room and will say when it has."""
+    """Time until which nothing is sent after a refusal, unless the gate reports free slots."""
     outstanding: dict[TaskKey, Outstanding] = field(default_factory=dict)
     batches: dict[str, TaskBatch] = field(default_factory=dict)
 
@@ -72,11 +72,11 @@
         }
 
     def is_usable(self, now: float) -> bool:
-        """Whether new work may go there."""
+        """Whether new tasks may be sent to the target."""
         return not (self.suspect or self.leaving or self.is_unresponsive(now))
 
     def is_unresponsive(self, now: float) -> bool:
-        """Whether the gate owes an answer for longer than a living one would take."""
+        """Whether an inquiry has been unanswered for too long."""
         return self.asked_at is not None and now - self.asked_at > UNRESPONSIVE_SECONDS
 
     @property
@@ -85,7 +85,7 @@
         return max(0, self.load.running + self.load.queued - self.own_in_load)
 
     def age(self, now: float) -> float:
-        """Return how old the reported load is: 0 when fresh, 1 when it tells nothing."""
+        """Return the age of the reported load as a fraction of `LOAD_MEMORY`, at most 1."""
         return min(1.0, max(0.0, now - self.load_at) / LOAD_MEMORY)
 
     def stamp_ms(self, now: float) -> int:
@@ -93,16 +93,16 @@
         return int((now + self.clock_ahead) * 1000)
 
     def update_load(self, now: float, load: Load, clock_ms: int) -> None:
-        """Note what the gate, or an entry on its behalf, says of its load and clock."""
+        """Record the gate's load and clock, as reported by itself or by an entry."""
         self.load = load
         self.load_at = now
         self.clock_ahead = clock_ms / 1000 - now
         self.own_in_load = len(self.outstanding)
 
     def update_load_from(self, now: float, report: Report, pipeline: int) -> None:
-        """Note a report's load, once its results and refusals have been taken.
+        """Record a report's load, after its results and refusals have been processed.
 
-        Tasks sent after what the gate had seen are not in that load.
+        Tasks in messages that the gate had not seen are not part of that load.
         """
         self.update_load(now, report.load, report.clock_ms)
         self.own_in_load = sum(out.seq <= report.seen_seq for out in self.outstanding.values())
@@ -110,7 +110,7 @@
             self.full_until = 0.0
 
     def accept_report(self, report: Report) -> bool:
-        """Note a report's number; return False if it is late or repeated."""
+        """Record a report's number; return False if the report is late or repeated."""
         if report.number <= self.last_report:
             return False
         if report.number != self.last_report + 1:
--- a/packages/paddleshunt-core/src/paddleshunt_core/members.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/members.py
@@ -1,11 +1,12 @@
-"""Membership: which targets there are, from three sources with a meaning each.
+"""Membership of targets, from the platform's list of hosts, heartbeats and newer incarnations.
 
-The platform's list lags and says which hosts exist, leave or are gone. Heartbeats say who can be
-reached, how busy it is and what configuration it follows. A newer incarnation on a host ends all
-earlier ones. A silent target is suspected: it gets no new work, but keeps its name and its share.
+The platform's list, which may be out of date, has the hosts that exist, leave or are gone.
+Heartbeats show which targets are reachable, their load and their configuration. A newer incarnation
+on a host ends all earlier ones. A silent target is suspected: it gets no new work, but stays a
+member and keeps its share.
 
-An entry hears some targets itself and the others through the entry that hears them. It judges the
-silence of the first by its clock, and takes the other entry's word for the second.
+An entry receives the heartbeats of some targets directly, and detects their silence by its own
+clock. For the others it relies on the entry that relays their heartbeats.
 """
 
 from collections.abc import Iterable
@@ -19,14 +20,14 @@
 from paddleshunt_core.messages import Heartbeat, Load, MemberUpdate, PeerInfo
 
 SUSPECT_AFTER = 3.0
-"""Heartbeat intervals without news after which a target is suspected."""
+"""Heartbeat intervals without a heartbeat after which a target is suspected."""
 
 ENDED_KEPT = 512
-"""Ended incarnations that are remembered, the newest ones."""
+"""Maximum number of ended incarnations that are remembered, the newest ones."""
 
 
 class HostState(StrEnum):
-    """What the platform says of a host."""
+    """State of a host in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -34,7 +35,7 @@
 
 
 class Role(StrEnum):
-    """What a process of the system does on its host."""
+    """Role of a process of the system."""
 
     ENTRY = "entry"
     TARGET = "target"
@@ -42,7 +43,7 @@
 
 @final
 class Host(msgspec.Struct, frozen=True):
-    """A host as the platform lists it; `peers` is where its process hears the others."""
+    """A host in the platform's list; `peers` is the address where its process listens for peers."""
 
     host: str
     role: Role
@@ -74,44 +75,44 @@
 
     @property
     def service(self) -> str:
-        """The service its runner serves."""
+        """The service of its runner."""
         return self.heartbeat.service
 
     @property
     def site(self) -> str:
-        """The site its host is at."""
+        """The site of its host."""
         return self.heartbeat.site
 
     @property
     def load(self) -> Load:
-        """Its last known load."""
+        """Its last reported load."""
         return self.heartbeat.load
 
     @property
     def leaving(self) -> bool:
-        """Whether it, or the platform, says that it leaves."""
+        """Whether it leaves, by its heartbeat or by the platform's list."""
         return self.heartbeat.leaving or self.listed is HostState.LEAVING
 
     def clock_ms(self, now: float) -> int:
-        """Estimate its clock."""
+        """Estimate its current clock."""
         return self.heartbeat.clock_ms + int((now - self.sent) * 1000)
 
 
 @final
 class Members:
-    """The targets as one entry knows them."""
+    """Targets known to one entry."""
 
     def __init__(self, heartbeat_seconds: float) -> None:
         self.heartbeat_seconds = heartbeat_seconds
         self.hosts_known = False
         self.stale_allotments: set[tuple[str, str]] = set()
-        """Service and site of members whose allotment may have to change; the owner empties it."""
+        """Service and site of rows whose allotment may have to change; the owner clears it."""
         self._members: dict[str, Member] = {}
         self._services: dict[str, dict[str, Member]] = {}
         self._versions: dict[str, int] = {}
         self._hosts: dict[str, Host] = {}
         self._ended: dict[Incarnation, None] = {}
-        self._entries_heard: dict[str, float] = {}
+        self._entries_last_received: dict[str, float] = {}
 
     @property
     def ended(self) -> list[Incarnation]:
@@ -119,14 +120,14 @@
         return list(self._ended)
 
     def has_ended(self, incarnation: Incarnation) -> bool:
-        """Whether it is known that the incarnation runs no more."""
+        """Whether the incarnation is known to have ended."""
         if incarnation in self._ended:
             return True
         member = self._members.get(incarnation.host)
         return member is not None and member.incarnation.boot > incarnation.boot
 
     def find(self, incarnation: Incarnation) -> Member | None:
-        """Return the member if that very incarnation is the host's newest."""
+        """Return the member with this incarnation, or None if it is not the host's newest."""
         member = self._members.get(incarnation.host)
         return member if member and member.incarnation == incarnation else None
 
@@ -135,7 +136,7 @@
         return list(self._members.values())
 
     def direct(self) -> list[Member]:
-        """Return the members that this entry hears itself."""
+        """Return the members whose heartbeats this entry receives directly."""
         return [member for member in self._members.values() if not member.via]
 
     def of_service(self, service: str) -> list[Member]:
@@ -143,7 +144,7 @@
         return list(self._services.get(service, {}).values())
 
     def version(self, service: str) -> int:
-        """Return a number that changes when a member of the service comes or ends."""
+        """Return a number that changes when a member of the service is added or removed."""
         return self._versions.get(service, 0)
 
     def is_suspect(self, member: Member, now: float) -> bool:
@@ -151,8 +152,8 @@
         limit = SUSPECT_AFTER * self.heartbeat_seconds
         if not member.via:
             return now - member.sent > limit
-        heard = max(member.sent, self._entries_heard.get(member.via, 0.0))
-        return member.reported_suspect or now - heard > limit
+        last_received = max(member.sent, self._entries_last_received.get(member.via, 0.0))
+        return member.reported_suspect or now - last_received > limit
 
     def is_usable(self, member: Member, now: float) -> bool:
         """Whether new work may go to the member."""
@@ -168,7 +169,7 @@
         *,
         suspect: bool = False,
     ) -> bool:
-        """Take a heartbeat sent `age` seconds ago; return whether targets should hear at once."""
+        """Record a heartbeat sent `age` seconds ago; return whether to update targets at once."""
         if self.has_ended(incarnation):
             return False
         if heartbeat.ended:
@@ -176,7 +177,7 @@
         known = self._members.get(incarnation.host)
         sent = now - age
         if known is not None and known.incarnation == incarnation:
-            return self._heard_again(now, known, heartbeat, sent, via, suspect=suspect)
+            return self._update_heartbeat(now, known, heartbeat, sent, via, suspect=suspect)
         if known is not None:
             self.end(known.incarnation)
         listed = self._hosts.get(incarnation.host)
@@ -186,11 +187,11 @@
         return True
 
     def record_entry(self, now: float, host: str) -> None:
-        """Note that another entry is there, so that its word on its targets still counts."""
-        self._entries_heard[host] = now
+        """Record a message of another entry, so that the targets it relays don't become suspect."""
+        self._entries_last_received[host] = now
 
     def update_hosts(self, now: float, hosts: Iterable[Host]) -> bool:
-        """Take the platform's list; return whether a host newly leaves or is gone."""
+        """Apply the platform's list; return whether a member's state in it changed."""
         self.hosts_known = True
         self._hosts = {host.host: host for host in hosts}
         changed = False
@@ -202,11 +203,11 @@
             elif state is not member.listed:
                 changed = True
                 member.listed = state
-                self._touch(now, member)
+                self._mark_changed(now, member)
         return changed
 
     def end(self, incarnation: Incarnation) -> bool:
-        """Note that an incarnation runs no more; return whether that is new."""
+        """Record that an incarnation has ended; return whether that was unknown before."""
         if incarnation in self._ended:
             return False
         self._ended[incarnation] = None
@@ -223,7 +224,7 @@
         return [h for h in hosts if h.role is role and h.state is not HostState.GONE]
 
     def suspicion_changes(self, now: float) -> list[Member]:
-        """Return members that became suspected, or ceased to be, since the last call."""
+        """Return the members that became suspect, or stopped being so, since the last call."""
         found: list[Member] = []
         for member in self._members.values():
             suspect = self.is_suspect(member, now)
@@ -234,13 +235,13 @@
         return found
 
     def member_update(self, member: Member, now: float) -> MemberUpdate:
-        """Return what another entry should know of a member."""
+        """Return the information about a member for another entry."""
         age_ms = int((now - member.sent) * 1000)
         suspect = self.is_suspect(member, now)
         return MemberUpdate(member.incarnation, member.heartbeat, age_ms, suspect)
 
     def peer_info(self, member: Member, now: float) -> PeerInfo:
-        """Return what other targets need to know of a member."""
+        """Return the information about a member for other targets."""
         return PeerInfo(
             member.incarnation,
             member.heartbeat.address,
@@ -251,7 +252,7 @@
             member.leaving,
         )
 
-    def _heard_again(
+    def _update_heartbeat(
         self,
         now: float,
         known: Member,
@@ -265,9 +266,9 @@
             return False
         if sent <= known.sent and not (via and via == known.via):
             return False
-        urgent = _urgent(heartbeat) != _urgent(known.heartbeat)
-        if _material(heartbeat) != _material(known.heartbeat):
-            self._touch(now, known)
+        urgent = _urgent_fields(heartbeat) != _urgent_fields(known.heartbeat)
+        if _relevant_fields(heartbeat) != _relevant_fields(known.heartbeat):
+            self._mark_changed(now, known)
         known.heartbeat = heartbeat
         known.sent = max(sent, known.sent)
         known.via = via
@@ -278,30 +279,30 @@
         host = member.incarnation.host
         self._members[host] = member
         self._services.setdefault(member.service, {})[host] = member
-        self._count(member)
+        self._bump_version(member)
 
     def _remove(self, member: Member) -> None:
         host = member.incarnation.host
         del self._members[host]
         del self._services[member.service][host]
-        self._count(member)
+        self._bump_version(member)
 
-    def _count(self, member: Member) -> None:
+    def _bump_version(self, member: Member) -> None:
         self._versions[member.service] = self._versions.get(member.service, 0) + 1
         self.stale_allotments.add((member.service, member.site))
 
-    def _touch(self, now: float, member: Member) -> None:
+    def _mark_changed(self, now: float, member: Member) -> None:
         member.changed = now
         self.stale_allotments.add((member.service, member.site))
 
 
-def _urgent(heartbeat: Heartbeat) -> tuple[bool, int]:
-    """Return what targets of the service must hear of at once."""
+def _urgent_fields(heartbeat: Heartbeat) -> tuple[bool, int]:
+    """Return the fields whose changes are sent to targets of the service at once."""
     return heartbeat.leaving, heartbeat.load.slots
 
 
-def _material(heartbeat: Heartbeat) -> tuple[bool, int, int, int]:
-    """Return what other entries must hear of soon."""
+def _relevant_fields(heartbeat: Heartbeat) -> tuple[bool, int, int, int]:
+    """Return the fields whose changes are sent to other entries soon."""
     return (
         heartbeat.leaving,
         heartbeat.table_revision,
--- a/packages/paddleshunt-core/src/paddleshunt_core/messages.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/messages.py
@@ -1,8 +1,8 @@
-"""Messages between the system's own processes, and their encoding.
+"""Messages between the system's processes, and their encoding.
 
-Every message travels in an `Envelope` that carries the protocol's version, the incarnation that
-sent it and the one it is meant for; a process drops what was meant for another incarnation.
-Times inside messages are milliseconds. Results and payloads are JSON texts, carried unread.
+Every message is sent in an `Envelope` with the protocol version, the sending incarnation and the
+receiving one; a process drops messages for another incarnation. Times in messages are
+milliseconds. Results and payloads are JSON texts that are not parsed.
 """
 
 from typing import final
@@ -22,7 +22,7 @@
 
 @final
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """How busy a target is: tasks it may run at once, running, queued, and jobs it is home of."""
+    """Load of a target: its task slots, running and queued tasks, and the jobs it is home of."""
 
     slots: int = 0
     running: int = 0
@@ -32,7 +32,7 @@
 
 @final
 class Task(msgspec.Struct, frozen=True, array_like=True):
-    """One task of a submission: its place in the submission and its payload."""
+    """One task of a submission: its index in the submission and its payload."""
 
     index: int
     payload: bytes
@@ -40,7 +40,7 @@
 
 @final
 class TaskBatch(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks of one submission for one target; they are worth nothing after `expires_ms` more."""
+    """Tasks of one submission for one target; they expire `expires_ms` after being sent."""
 
     submission: str
     service: str
@@ -50,7 +50,7 @@
 
 @final
 class TaskRefs(msgspec.Struct, frozen=True, array_like=True):
-    """Names of tasks of one submission."""
+    """References to tasks of one submission, by index."""
 
     submission: str
     indexes: list[int]
@@ -58,7 +58,7 @@
 
 @final
 class TaskResult(msgspec.Struct, frozen=True, array_like=True):
-    """The end of one task. `ok` is None where the runner's answer was lost."""
+    """The result of one task. `ok` is None if the runner's answer was lost."""
 
     submission: str
     index: int
@@ -71,7 +71,7 @@
 
 @final
 class Submit(_Body, frozen=True, tag="submit"):
-    """Run these tasks under this id, unless the id is known already."""
+    """Request to run these tasks under this id, unless the id is already known."""
 
     submission: str
     service: str
@@ -83,7 +83,7 @@
 
 @final
 class Query(_Body, frozen=True, tag="query"):
-    """Tell the state of a submission. `digest` is the asking request's, empty if it has none."""
+    """Query for the state of a submission; `digest` is that of the request, or empty."""
 
     submission: str
     digest: bytes = b""
@@ -93,7 +93,7 @@
 class Answer(_Body, frozen=True, tag="answer"):
     """The outcome of a submission; final unless it is `NotAccepted` or `Conflict`.
 
-    `digest` repeats the one of the request or of the record it answers.
+    `digest` is that of the request or of the record it answers.
     """
 
     submission: str
@@ -112,20 +112,20 @@
 
 @final
 class Absent(_Body, frozen=True, tag="absent"):
-    """The home holds no record of the submission, and its id may still be accepted."""
+    """The home has no record of the submission, and its id may still be accepted."""
 
     submission: str
     digest: bytes
 
 
-# Between a home and a gate. `seq` grows with each message of a home to a gate; a gate takes none
-# whose `seq` is not above all it has seen, so a late or repeated copy can't start anything.
-# `stamp_ms` is the sender's estimate of the gate's clock; a gate takes none older than its window.
+# Between a home and a gate. `seq` increases with each message of a home to a gate; a gate ignores
+# messages whose `seq` is not higher than all before, so a late or repeated copy can't start a task.
+# `stamp_ms` is the sender's estimate of the gate's clock; a gate ignores stamps before its window.
 
 
 @final
 class Assign(_Body, frozen=True, tag="assign"):
-    """Start these tasks. `acked` is the last report that the home has taken."""
+    """Request to start tasks. `acked` is the number of the last report the home has processed."""
 
     seq: int
     stamp_ms: int
@@ -135,7 +135,7 @@
 
 @final
 class Inquire(_Body, frozen=True, tag="inquire"):
-    """Tell the state of these tasks; with `revoke`, never start those that have not started."""
+    """Query for the state of tasks; `revoke` cancels those that have not started."""
 
     seq: int
     stamp_ms: int
@@ -146,10 +146,10 @@
 
 @final
 class Report(_Body, frozen=True, tag="report"):
-    """What a gate tells a home, numbered without gaps for each home.
+    """Report of a gate to a home, numbered consecutively for each home.
 
-    `refused` tasks have not started and never will under any message up to `seen_seq`; `running`
-    and `queued` list only tasks asked about by the inquiry numbered `answers` (0: none).
+    `refused` tasks have not started, and never will by a message up to `seen_seq`. `running` and
+    `queued` list only tasks of the inquiry with the number `answers` (0: none).
     """
 
     number: int
@@ -166,7 +166,7 @@
 
 @final
 class Misdirected(_Body, frozen=True, tag="misdirected"):
-    """The message was meant for an earlier incarnation of the host, which has ended."""
+    """Reply to a message for an earlier incarnation of the host, which has ended."""
 
     ended: Incarnation
 
@@ -176,7 +176,7 @@
 
 @final
 class Share(msgspec.Struct, frozen=True, array_like=True):
-    """What one target may use of its row's limits, at a revision of the row's allotment."""
+    """One target's share of its row's limits, at a revision of the row's allotment."""
 
     revision: int
     max_running: int
@@ -185,7 +185,7 @@
 
 @final
 class Heartbeat(_Body, frozen=True, tag="heartbeat"):
-    """A target says that it is there, how busy it is and which configuration it follows."""
+    """Heartbeat of a target, with its load and the revisions of its configuration."""
 
     address: str
     site: str
@@ -198,12 +198,12 @@
     table_revision: int
     share_revision: int
     view: int = 0
-    """Digest of the last whole view; an entry sends the whole view again when it differs."""
+    """Digest of the last snapshot; an entry sends a new snapshot when it differs."""
 
 
 @final
 class PeerInfo(msgspec.Struct, frozen=True, array_like=True):
-    """A target as entries tell it to other targets."""
+    """A target, as described by an entry to other targets."""
 
     incarnation: Incarnation
     address: str
@@ -216,7 +216,7 @@
 
 @final
 class EntryInfo(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """An entry's host and the address where it hears peers."""
+    """An entry's host and the address where it listens for peers."""
 
     host: str
     address: str
@@ -233,9 +233,9 @@
 
 @final
 class View(_Body, frozen=True, tag="view"):
-    """What an entry tells a target: its share and, where that is news, a whole picture.
+    """An entry's view for a target: its share and, if it changed, a snapshot.
 
-    Without a picture, the one that the target has under `digest` holds for `table_revision` too.
+    Without a snapshot, the target's one with `digest` is valid for `table_revision` too.
     """
 
     digest: int
@@ -248,7 +248,7 @@
 
 @final
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What one entry heard of one target, for other entries."""
+    """An entry's information about a target, for other entries."""
 
     incarnation: Incarnation
     heartbeat: Heartbeat
@@ -258,7 +258,7 @@
 
 @final
 class Exchange(_Body, frozen=True, tag="exchange"):
-    """What an entry heard lately, and the configuration it follows (JSON texts, with sync only)."""
+    """An entry's recent member updates and, in a full sync, its configuration as JSON texts."""
 
     table_revision: int
     members: list[MemberUpdate]
@@ -286,9 +286,9 @@
 
 @final
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A body with its protocol version, sender, the sender's address and receiver.
+    """A body with the protocol version, sender, sender's address and receiver.
 
-    An empty boot in `to` means whichever incarnation runs on the host.
+    An empty boot in `to` addresses any incarnation on the host.
     """
 
     version: int
@@ -300,7 +300,7 @@
 
 @final
 class BadMessage(msgspec.Struct, frozen=True):
-    """Bytes that are no message of this protocol version."""
+    """Bytes that could not be decoded as a message of this protocol version."""
 
     reason: str
 
@@ -320,7 +320,7 @@
 
 
 def decode(raw: bytes) -> Envelope | BadMessage:
-    """Return the message in `raw`, or why it can't be taken."""
+    """Return the message in `raw`, or why it can't be decoded."""
     try:
         envelope = _decoder.decode(raw)
     except msgspec.MsgspecError as error:
--- a/packages/paddleshunt-core/src/paddleshunt_core/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/outcomes.py
@@ -1,6 +1,6 @@
-"""The answers a caller can get, one meaning each, and what each says about asking again.
+"""Outcomes of submissions, as answered to callers, and whether it is safe to retry after each.
 
-They travel between processes, so they are tagged `msgspec` structs; msgspec can't tag dataclasses.
+They are sent between processes, hence tagged `msgspec` structs.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class RetryAdvice(StrEnum):
-    """How a caller may ask again without risking a second run."""
+    """Under which submission id a caller may retry without risking a second run."""
 
     SAME_ID = "same_id"
     NEW_ID = "new_id"
@@ -19,19 +19,19 @@
 
 
 class _Outcome(msgspec.Struct, frozen=True, tag_field="outcome"):
-    """Fields that no outcome has by itself; the base of the tagged union."""
+    """Base of the tagged union."""
 
 
 @final
 class Complete(_Outcome, frozen=True, tag="complete"):
-    """Every task ran once and succeeded; `results` (JSON texts) are in the order of the tasks."""
+    """Every task ran once and succeeded; `results` holds JSON texts in task order."""
 
     results: list[bytes]
 
 
 @final
 class Failed(_Outcome, frozen=True, tag="failed"):
-    """At least one task failed or ran out of time. The two lists say which tasks ran."""
+    """At least one task failed or timed out; the lists hold the indexes of the tasks."""
 
     reason: str
     failed: list[int]
@@ -41,7 +41,7 @@
 
 @final
 class NotRun(_Outcome, frozen=True, tag="not_run"):
-    """Nothing of the submission started and its id is closed, so nothing ever will."""
+    """No task started, and none ever will, as the id is closed."""
 
     reason: str
     retry_after_ms: int
@@ -49,7 +49,7 @@
 
 @final
 class NotAccepted(_Outcome, frozen=True, tag="not_accepted"):
-    """This attempt went nowhere. It says nothing of earlier attempts with the same id."""
+    """This attempt was not accepted; earlier attempts with the same id may have been."""
 
     reason: str
     retry_after_ms: int
@@ -57,14 +57,14 @@
 
 @final
 class Unknown(_Outcome, frozen=True, tag="unknown"):
-    """It can't be known whether tasks ran: the process that knew was lost, or forgot as it may."""
+    """Whether tasks ran is unknown: the process with the record was lost, or the record expired."""
 
     reason: str
 
 
 @final
 class Conflict(_Outcome, frozen=True, tag="conflict"):
-    """The id belongs to another body; the submission that came first is untouched."""
+    """The id was used before with another body; the earlier submission is unaffected."""
 
     reason: str
 
@@ -78,9 +78,9 @@
 
 
 def retry_advice(outcome: Outcome, *, repeatable: bool) -> RetryAdvice:
-    """Return how a caller may ask again after `outcome`.
+    """Return how a caller may retry after `outcome`.
 
-    `repeatable` is what the caller said of its tasks; it changes only this advice.
+    `repeatable` is the caller's declaration that its tasks may run twice.
     """
     match outcome:
         case Complete():
--- a/packages/paddleshunt-core/src/paddleshunt_core/records.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/records.py
@@ -1,7 +1,7 @@
-"""Records of closed submissions: each id that a home has answered, until it can't come back.
+"""Records of the submissions that a home has answered.
 
-An id's record stays until the id could no longer be accepted, whatever is remembered. Answers are
-bounded by bytes: the oldest are dropped first, while their ids stay closed.
+A record is kept until its id can no longer be accepted. The answers are bounded in bytes: the
+oldest are dropped first, while their ids stay closed.
 """
 
 from collections import deque
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """`outcome` is None once the answer was dropped for room."""
+    """A closed submission; `outcome` is None once the answer was dropped to save memory."""
 
     digest: bytes
     repeatable: bool
@@ -24,7 +24,7 @@
 
 @final
 class Records:
-    """The closed ids of one home, with their outcomes."""
+    """Closed ids of one home, with their outcomes."""
 
     def __init__(self, answer_bytes: int) -> None:
         self._answer_bytes = answer_bytes
@@ -50,7 +50,7 @@
             self._drop_answers()
 
     def find(self, submission: str, digest: bytes) -> Answer | None:
-        """Return the answer for a request with this digest (empty: any), None if there is none."""
+        """Return the answer to a request with `digest` (empty: any), or None without a record."""
         record = self._records.get(submission)
         if record is None:
             return None
@@ -60,7 +60,7 @@
         return Answer(submission, digest or record.digest, outcome, record.repeatable)
 
     def forget(self, now: float) -> None:
-        """Forget ids whose time has passed."""
+        """Remove the records that have expired."""
         while self._expiry and self._expiry[0][0] <= now:
             record = self._records.pop(self._expiry.popleft()[1])
             self.kept_bytes -= record.bytes
@@ -75,5 +75,5 @@
 
 
 def conflict_answer(submission: str, digest: bytes) -> Answer:
-    """Return the answer for another body under a known id."""
+    """Return the answer to a request that reuses a known id for another body."""
     return Answer(submission, digest, Conflict("the id belongs to another body"))
--- a/packages/paddleshunt-core/src/paddleshunt_core/table.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/table.py
@@ -1,7 +1,7 @@
-"""The operators' table: one row for each service and site, and the document that holds it.
+"""The operators' table, with one row for each service and site, and the document that holds it.
 
-The document carries a revision that only grows. An edit names the revision it was made from; two
-edits from the same revision conflict, and the later one is told what the other changed.
+The document has a revision that only increases. An edit names the revision it is based on; if two
+edits are based on the same revision, the later one fails with the changes of the other.
 """
 
 from dataclasses import dataclass
@@ -10,15 +10,15 @@
 import msgspec
 
 MAX_LIMIT = 1_000_000
-"""The largest weight or limit a row may hold."""
+"""Maximum weight or limit of a row."""
 
 RECENT_EDITS = 64
-"""Edit ids a document remembers, so that an operator can find its own edit after a lost answer."""
+"""Edit ids kept in the document, so that a client finds its edit after a lost answer."""
 
 
 @final
 class Row(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Weight and limits of one service at one site; limits are for the row as a whole."""
+    """Weight of a service at a site, and the limits for all its targets there together."""
 
     service: str
     site: str
@@ -29,7 +29,7 @@
 
 @final
 class TableDocument(msgspec.Struct, frozen=True):
-    """The table as the store holds it; `recent_edits` has the newest edit id last."""
+    """The table as stored; `recent_edits` has the newest edit id last."""
 
     revision: int
     edit: str
@@ -43,7 +43,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RowChange:
-    """A row that differs between two tables; None stands for a row that is not there."""
+    """A row that differs between two tables; None means that the row is absent."""
 
     service: str
     site: str
@@ -54,7 +54,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class EditConflict:
-    """The table moved on since the edit was made; `changes` is what others did meanwhile."""
+    """The table has changed since revision `base` of the edit; `changes` are those changes."""
 
     base: int
     found: int
@@ -62,13 +62,13 @@
 
 
 def revise(current: TableDocument, rows: list[Row], edit: str) -> TableDocument:
-    """Return the document that follows `current` when `rows` replace its rows."""
+    """Return the next document after `current`, with `rows` instead of its rows."""
     recent = [*current.recent_edits, edit][-RECENT_EDITS:]
     return TableDocument(current.revision + 1, edit, recent, sorted(rows))
 
 
 def changes(before: list[Row], after: list[Row]) -> tuple[RowChange, ...]:
-    """Return the rows that differ, in the order of service and site."""
+    """Return the rows that differ, ordered by service and site."""
     old = {(row.service, row.site): row for row in before}
     new = {(row.service, row.site): row for row in after}
     differing = [key for key in sorted(old.keys() | new.keys()) if old.get(key) != new.get(key)]
@@ -77,7 +77,7 @@
 
 @final
 class TableController:
-    """The table in force in one process. It adopts a higher revision and nothing else, ever."""
+    """The table in force in one process; only a higher revision is adopted."""
 
     def __init__(self) -> None:
         self.document = EMPTY_TABLE
@@ -100,13 +100,13 @@
         return True
 
     def adopt_from_store(self, document: TableDocument | None) -> bool:
-        """Like `adopt`, and notice a store that holds less than is in force (None: nothing)."""
+        """Adopt the stored document, or set `store_went_back_to` if its revision is lower."""
         found = document.revision if document else 0
         self.store_went_back_to = found if found < self.revision else None
         return document is not None and self.adopt(document)
 
     def rows_of(self, service: str) -> list[Row]:
-        """Return the rows of a service; none if the table doesn't know it."""
+        """Return the rows of a service; empty if the table has none."""
         return self._services.get(service, [])
 
     def row(self, service: str, site: str) -> Row | None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/views.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/views.py
@@ -1,7 +1,7 @@
-"""Views: what an entry tells each target, whole only when it differs from what the target has.
+"""Views that an entry sends to each target, with a snapshot only if it differs from the target's.
 
-A target's heartbeat names the digest of the view it has. While nothing but load has changed it
-gets a short answer; so the bytes of a quiet fleet don't grow with the targets a target knows.
+A target's heartbeat has the digest of its last snapshot. While only loads change, it gets a short
+answer, so the traffic of an idle fleet doesn't grow with the number of targets in a snapshot.
 """
 
 from typing import final
@@ -17,24 +17,24 @@
 from paddleshunt_core.table import TableController
 
 PEERS_NEAR = 24
-"""Targets of its own site that a target is told of."""
+"""Maximum number of targets of its own site, itself included, in a target's snapshot."""
 
 PEERS_FAR = 8
-"""Targets of other sites that a target is told of."""
+"""Maximum number of targets of other sites in a target's snapshot."""
 
-ENDED_TOLD = 16
-"""Incarnations that ended last, named in every whole view and every exchange."""
+ENDED_SENT = 16
+"""Number of the last ended incarnations in every snapshot's view and every exchange."""
 
 
 @final
 class Views:
-    """Makes views from what an entry knows."""
+    """Builds views from an entry's members and table."""
 
     def __init__(self, members: Members, table: TableController) -> None:
         self._members = members
         self._table = table
         self._subsets: dict[tuple[str, str], tuple[int, list[Incarnation]]] = {}
-        """Chosen targets by service and host, with the service's version they were chosen at."""
+        """By service and host: the chosen targets and the service's version at that time."""
 
     def view(
         self,
@@ -43,46 +43,46 @@
         entries: list[EntryInfo],
         allotment: Allotment | None,
     ) -> Send:
-        """Return the view for a member; whole if the member lacks it."""
-        picture = ServiceSnapshot(
+        """Return the view for a member, with a snapshot unless the member has the current one."""
+        snapshot = ServiceSnapshot(
             self._table.rows_of(member.service),
             [self._members.peer_info(peer, now) for peer in self._subset(member)],
             entries,
         )
-        digest = _digest(picture)
-        whole = digest != member.heartbeat.view
+        digest = _digest(snapshot)
+        is_new = digest != member.heartbeat.view
         view = View(
             digest=digest,
             table_revision=self._table.revision,
             heartbeat_ms=int(self._members.heartbeat_seconds * 1000),
             share=share_of(allotment, member.incarnation) if allotment else None,
-            snapshot=picture if whole else None,
-            ended=self._members.ended[-ENDED_TOLD:] if whole else [],
+            snapshot=snapshot if is_new else None,
+            ended=self._members.ended[-ENDED_SENT:] if is_new else [],
         )
         return Send(member.incarnation, member.heartbeat.address, view)
 
     def _subset(self, member: Member) -> list[Member]:
-        """Return the targets that `member` may give work to: near ones, itself too, and far."""
+        """Return the targets that `member` may send tasks to, itself included."""
         version = self._members.version(member.service)
         key = (member.service, member.incarnation.host)
         cached = self._subsets.get(key)
         if cached is None or cached[0] != version:
             chosen = [m.incarnation for m in self._choose(member)]
             cached = self._subsets[key] = (version, chosen)
-        found = [self._members.find(incarnation) for incarnation in cached[1]]
-        return [each for each in found if each is not None]
+        current = [self._members.find(incarnation) for incarnation in cached[1]]
+        return [each for each in current if each is not None]
 
     def _choose(self, member: Member) -> list[Member]:
         service = self._members.of_service(member.service)
         near = [m for m in service if m.site == member.site and m is not member]
         far = [m for m in service if m.site != member.site]
-        near = _nearest(member, near, PEERS_NEAR - 1)
-        chosen = [member, *near, *_nearest(member, far, PEERS_FAR)]
+        near = _by_affinity(member, near, PEERS_NEAR - 1)
+        chosen = [member, *near, *_by_affinity(member, far, PEERS_FAR)]
         return sorted(chosen, key=lambda each: each.incarnation)
 
 
-def _nearest(member: Member, others: list[Member], most: int) -> list[Member]:
-    """Return the ones that the member's hash favours, the same as long as they stay."""
+def _by_affinity(member: Member, others: list[Member], most: int) -> list[Member]:
+    """Return up to `most` members by rendezvous hashing, which is stable while they stay."""
     if len(others) <= most:
         return others
     return sorted(others, key=lambda other: _affinity(member, other))[:most]
@@ -92,11 +92,11 @@
     return xxhash.xxh32_intdigest(f"{member.incarnation.host}/{other.incarnation.host}".encode())
 
 
-def _digest(picture: ServiceSnapshot) -> int:
-    """Return a digest of everything in a picture but load and clocks.
+def _digest(snapshot: ServiceSnapshot) -> int:
+    """Return a digest of everything in a snapshot except loads and clocks.
 
-    All entries that know the same make the same one: peers come sorted.
+    Entries with the same information compute the same digest, as the peers are sorted.
     """
-    steady = [(p.incarnation, p.suspect, p.leaving, p.load.slots) for p in picture.peers]
-    packed = msgspec.msgpack.encode((picture.rows, steady, picture.entries))
+    stable = [(p.incarnation, p.suspect, p.leaving, p.load.slots) for p in snapshot.peers]
+    packed = msgspec.msgpack.encode((snapshot.rows, stable, snapshot.entries))
     return xxhash.xxh64_intdigest(packed)
--- a/testing/core/test_calls.py
+++ b/testing/core/test_calls.py
@@ -47,15 +47,15 @@
     assert len(calls) == 1
 
 
-def test_silent_home_is_asked_and_hears_the_submission_again_if_absent(calls: Calls) -> None:
+def test_silent_home_is_queried_and_gets_the_submission_again_if_absent(calls: Calls) -> None:
     assert sent(calls.tick(1.1, never)) == [Query("s", b"d")]
-    (again,) = sent(calls.absent(1.2, Absent("s", b"d")))
-    assert isinstance(again, Submit)
-    assert again.deadline_ms == 3800
-    assert again.tasks == SUBMIT.tasks
+    (resent,) = sent(calls.absent(1.2, Absent("s", b"d")))
+    assert isinstance(resent, Submit)
+    assert resent.deadline_ms == 3800
+    assert resent.tasks == SUBMIT.tasks
 
 
-def test_running_home_is_asked_less_often(calls: Calls) -> None:
+def test_home_of_a_running_submission_is_queried_less_often(calls: Calls) -> None:
     calls.running(1.0, Running("s", b"d"))
     assert sent(calls.tick(2.9, never)) == []
     assert sent(calls.tick(3.1, never)) == [Query("s", b"d")]
@@ -65,7 +65,7 @@
     ("now", "ended"),
     [pytest.param(0.5, True, id="home ended"), pytest.param(6.1, False, id="deadline passed")],
 )
-def test_lost_home_is_unknown(calls: Calls, now: float, ended: bool) -> None:
+def test_submission_at_a_lost_home_is_unknown(calls: Calls, now: float, ended: bool) -> None:
     (outcome,) = replied(calls.tick(now, lambda incarnation: ended)).values()
     assert isinstance(outcome, Unknown)
 
--- a/testing/core/test_ids.py
+++ b/testing/core/test_ids.py
@@ -6,7 +6,7 @@
 HOME = Incarnation("hall-1", "0001")
 
 
-def test_minted_id_says_home_and_time(rng: Random) -> None:
+def test_minted_id_contains_home_and_time(rng: Random) -> None:
     parsed = parse_id(mint(HOME, 1234, rng))
     assert isinstance(parsed, SubmissionId)
     assert (parsed.home, parsed.minted_ms) == (HOME, 1234)
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         pytest.param(lambda text: text[:-3], id="cut"),
         pytest.param(lambda text: "A" + text[1:], id="altered"),
@@ -27,9 +27,9 @@
         pytest.param(lambda text: text * 10, id="long"),
     ],
 )
-def test_spoiled_id_is_invalid(rng: Random, spoil: object) -> None:
-    assert callable(spoil)
-    assert isinstance(parse_id(spoil(mint(HOME, 1234, rng))), InvalidId)
+def test_corrupted_id_is_invalid(rng: Random, corrupt: object) -> None:
+    assert callable(corrupt)
+    assert isinstance(parse_id(corrupt(mint(HOME, 1234, rng))), InvalidId)
 
 
 def test_later_boot_stamp_is_greater(rng: Random) -> None:
--- a/testing/core/test_idwindow.py
+++ b/testing/core/test_idwindow.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("now", "judged"),
+    ("now", "expected"),
     [
         (MINTED - 6.0, NotAccepted),
         (MINTED - 4.0, type(None)),
@@ -22,9 +22,9 @@
     ],
     ids=["future", "within skew", "within window", "too old"],
 )
-def test_time_decides(now: float, judged: type) -> None:
+def test_acceptance_depends_on_the_time_since_minting(now: float, expected: type) -> None:
     name = mint(HOME, round(MINTED * 1000), Random(1))
-    assert isinstance(WINDOW.rejection(now, name), judged)
+    assert isinstance(WINDOW.rejection(now, name), expected)
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
     assert isinstance(WINDOW.rejection(MINTED, name), NotAccepted)
 
 
-def test_an_id_is_remembered_for_as_long_as_it_could_be_accepted() -> None:
+def test_an_id_is_kept_until_it_can_no_longer_be_accepted() -> None:
     name = mint(HOME, round(MINTED * 1000), Random(1))
     forgotten = WINDOW.forget_at(MINTED, name)
     assert isinstance(WINDOW.rejection(forgotten, name), Unknown)
--- a/testing/core/test_members.py
+++ b/testing/core/test_members.py
@@ -44,12 +44,12 @@
     assert member.leaving
 
 
-def test_farewell_ends_the_incarnation(members: Members) -> None:
+def test_last_heartbeat_ends_the_incarnation(members: Members) -> None:
     assert members.record_heartbeat(11.0, OLD, heartbeat(ended=True), 0.0)
     assert members.has_ended(OLD)
 
 
-def test_list_says_leaving_then_gone(members: Members) -> None:
+def test_hosts_list_marks_a_member_as_leaving_and_then_gone(members: Members) -> None:
     assert members.update_hosts(10.5, [host(HostState.LEAVING)])
     member = members.find(OLD)
     assert member is not None
@@ -58,12 +58,12 @@
     assert members.has_ended(OLD)
 
 
-def test_list_without_the_host_says_nothing(members: Members) -> None:
+def test_host_missing_from_the_list_stays_a_member(members: Members) -> None:
     members.update_hosts(10.5, [])
     assert members.find(OLD) is not None
 
 
-def test_clock_goes_on_between_heartbeats(members: Members) -> None:
+def test_clock_estimate_advances_between_heartbeats(members: Members) -> None:
     member = members.find(OLD)
     assert member is not None
     assert member.clock_ms(10.5) == 5500
--- a/testing/core/test_outcomes.py
+++ b/testing/core/test_outcomes.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "once", "again"),
+    ("outcome", "not_repeatable", "repeatable"),
     [
         pytest.param(Complete([]), RetryAdvice.SAME_ID, RetryAdvice.SAME_ID, id="complete"),
         pytest.param(NotRun("", 0), RetryAdvice.NEW_ID, RetryAdvice.NEW_ID, id="not_run"),
@@ -26,7 +26,7 @@
     ],
 )
 def test_a_new_id_is_advised_only_where_nothing_can_run_twice(
-    outcome: Outcome, once: RetryAdvice, again: RetryAdvice
+    outcome: Outcome, not_repeatable: RetryAdvice, repeatable: RetryAdvice
 ) -> None:
-    assert retry_advice(outcome, repeatable=False) is once
-    assert retry_advice(outcome, repeatable=True) is again
+    assert retry_advice(outcome, repeatable=False) is not_repeatable
+    assert retry_advice(outcome, repeatable=True) is repeatable
--- a/testing/core/test_routing.py
+++ b/testing/core/test_routing.py
@@ -38,7 +38,7 @@
     assert homes(Router(rng), members, 400) == {"hall": 300, "depot": 100}
 
 
-def test_full_site_is_passed_over(members: Members, rng: Random) -> None:
+def test_full_site_is_skipped(members: Members, rng: Random) -> None:
     for number in range(3):
         add(members, f"hall-{number}", "hall", Load(slots=4, running=4))
         members.record_heartbeat(
@@ -50,13 +50,13 @@
     assert homes(Router(rng), members, 50) == {"depot": 50}
 
 
-def test_weight_zero_gets_nothing(members: Members, rng: Random) -> None:
+def test_site_of_weight_zero_is_never_chosen(members: Members, rng: Random) -> None:
     rows = [Row("results", "hall", 0, 8, 8)]
     found = Router(rng).choose_home(10.0, "results", rows, members)
     assert isinstance(found, NoHome)
 
 
-def test_silent_targets_are_no_homes(members: Members, rng: Random) -> None:
+def test_silent_targets_are_not_chosen(members: Members, rng: Random) -> None:
     found = Router(rng).choose_home(20.0, "results", ROWS, members)
     assert isinstance(found, NoHome)
 
--- a/testing/core/test_table.py
+++ b/testing/core/test_table.py
@@ -21,7 +21,7 @@
     assert table.document == second
 
 
-def test_store_that_went_back_is_reported_and_not_followed() -> None:
+def test_store_with_a_lower_revision_is_reported_and_not_adopted() -> None:
     table = TableController()
     first = revise(EMPTY_TABLE, [HALL], "one")
     table.adopt(revise(first, [DEPOT], "two"))
@@ -32,7 +32,7 @@
     assert table.revision == 2
 
 
-def test_recent_edits_are_bounded_and_have_the_newest() -> None:
+def test_recent_edits_are_bounded_and_keep_the_newest() -> None:
     document = EMPTY_TABLE
     for number in range(RECENT_EDITS + 5):
         document = revise(document, [HALL], f"edit-{number}")
@@ -40,7 +40,7 @@
     assert document.recent_edits[-1] == f"edit-{RECENT_EDITS + 4}"
 
 
-def test_changes_name_rows_that_differ() -> None:
+def test_changes_are_the_rows_that_differ() -> None:
     heavier = Row("results", "hall", 2, 8, 8)
     found = changes([HALL], [heavier, DEPOT])
     assert [(c.site, c.before, c.after) for c in found] == [
--- a/testing/core/test_views.py
+++ b/testing/core/test_views.py
@@ -36,7 +36,7 @@
     return Members(1.0)
 
 
-def test_view_is_whole_until_the_target_has_it(members: Members) -> None:
+def test_view_has_a_snapshot_until_the_target_has_it(members: Members) -> None:
     views = Views(members, TableController())
     member = fill(members, 4)
     first = view_of(views, member)
@@ -46,24 +46,24 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "whole"),
+    ("change", "has_snapshot"),
     [
         pytest.param(beat("depot", running=3), False, id="load"),
         pytest.param(beat("depot", slots=2), True, id="slots"),
     ],
 )
-def test_only_what_matters_makes_a_view_whole(
-    members: Members, change: Heartbeat, whole: bool
+def test_only_relevant_changes_cause_a_new_snapshot(
+    members: Members, change: Heartbeat, has_snapshot: bool
 ) -> None:
     views = Views(members, TableController())
     member = fill(members, 4)
     digest = view_of(views, member).digest
     members.record_heartbeat(0.5, member.incarnation, beat("hall", view=digest), 0.0)
     members.record_heartbeat(0.6, Incarnation("t000", "1"), change, 0.0)
-    assert (view_of(views, member).snapshot is not None) is whole
+    assert (view_of(views, member).snapshot is not None) is has_snapshot
 
 
-def test_table_of_another_service_is_told_as_a_number(members: Members) -> None:
+def test_change_to_another_service_sends_only_the_table_revision(members: Members) -> None:
     table = TableController()
     views = Views(members, table)
     member = fill(members, 2)
@@ -75,14 +75,14 @@
     assert view.table_revision == 1
 
 
-def test_entries_that_know_the_same_make_the_same_digest(rng: Random) -> None:
+def test_entries_with_the_same_members_compute_the_same_digest(rng: Random) -> None:
     one, other = Members(1.0), Members(1.0)
     first, second = fill(one, 80), fill(other, 80, rng)
     table = TableController()
     assert view_of(Views(one, table), first).digest == view_of(Views(other, table), second).digest
 
 
-def test_subset_is_bounded_and_has_the_target_itself(members: Members) -> None:
+def test_subset_is_bounded_and_includes_the_target(members: Members) -> None:
     view = view_of(Views(members, TableController()), fill(members, 200))
     assert view.snapshot is not None
     peers = view.snapshot.peers
