--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -318,11 +318,17 @@
         """
         target = self._targets.get(hello.name)
         if target is None:
-            target = self._targets[hello.name] = TargetRecord(hello.name, hello.hall, hello.life)
+            target = self._targets[hello.name] = TargetRecord(
+                hello.name, hello.hall, hello.incarnation
+            )
         target.connected = True
         target.spoke(now)
         session = target.session
-        if session is not None and target.life == hello.life and session.number == hello.session:
+        if (
+            session is not None
+            and target.incarnation == hello.incarnation
+            and session.number == hello.session
+        ):
             session.resume(hello.received)
             return session, []
         if hello.session:
@@ -506,7 +512,7 @@
         self._sessions += 1
         if self._met is None:
             self._met = now
-        target.life = hello.life
+        target.incarnation = hello.incarnation
         target.hall = hello.hall
         session = target.session = Session(self._sessions, int(now * 1000))
         target.reset()
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -109,9 +109,9 @@
 
     def _has_new_life(self, entry: EntryAddress) -> bool:
         lives = self._lives.setdefault(entry.name, deque(maxlen=LIVES))
-        if not entry.life or entry.life in lives:
+        if not entry.incarnation or entry.incarnation in lives:
             return False
-        lives.append(entry.life)
+        lives.append(entry.incarnation)
         return True
 
     def _rank(self, entry: EntryAddress) -> int:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -27,9 +27,9 @@
 @final
 @dataclass(slots=True)
 class EntryLink:
-    """One entry: its process start (`life`) and the session with it. Times are steady seconds."""
+    """One entry's incarnation and the session with it. Times are steady seconds."""
 
-    life: str = ""
+    incarnation: str = ""
     session: Session | None = None
     ends: list[tuple[RunId, End]] = field(default_factory=list)
     report_due: bool = True
@@ -58,26 +58,30 @@
     _stamp_due: bool = False
     """Whether to send a stamp at once, to confirm the lease for pending runs."""
     _newest_session: int = 0
-    """Number of the newest session with this process start of the entry; numbers increase."""
+    """Number of the newest session with this incarnation of the entry; numbers increase."""
     _last_ends_number: int = 0
     """Number of the last body that reported ends of runs."""
 
-    def open(self, now: float, life: str, session: Session) -> None:
+    def open(self, now: float, incarnation: str, session: Session) -> None:
         """Start a new session, discarding any earlier one."""
-        self.life = life
+        self.incarnation = incarnation
         self.session = session
         self._newest_session = session.number
         self._last_ends_number = 0
         self.connected(now)
 
-    def is_current(self, life: str, number: int) -> bool:
+    def is_current(self, incarnation: str, number: int) -> bool:
         """Whether this is the open session."""
-        return self.session is not None and self.life == life and self.session.number == number
+        return (
+            self.session is not None
+            and self.incarnation == incarnation
+            and self.session.number == number
+        )
 
-    def has_ended(self, life: str, number: int) -> bool:
+    def has_ended(self, incarnation: str, number: int) -> bool:
         """Whether this session is over, though its entry may still try to resume it."""
-        known = self.life == life and number <= self._newest_session
-        return known and not self.is_current(life, number)
+        known = self.incarnation == incarnation and number <= self._newest_session
+        return known and not self.is_current(incarnation, number)
 
     def connected(self, now: float) -> None:
         """Handle a new connection: frames sent over an earlier one may be lost."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -27,7 +27,7 @@
 
     name: str
     hall: str
-    life: str
+    incarnation: str
     session: Session | None = None
     connected: bool = False
     heard: float = 0.0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -155,13 +155,13 @@
 class EntryAddress(msgspec.Struct, frozen=True, array_like=True, order=True):
     """An entry's name and the host:port on which it listens for peers.
 
-    `life` is new at each start of the process; empty if the sender has never connected to the
-    entry. `hall` is the entry's data hall; empty if unknown.
+    `incarnation` changes with each start of the process; empty if the sender has never connected to
+    the entry. `hall` is the entry's data hall; empty if unknown.
     """
 
     name: str
     address: str
-    life: str = ""
+    incarnation: str = ""
     hall: str = ""
 
 
@@ -227,9 +227,9 @@
         return RunnerLife(self.runner, self.born)
 
     @classmethod
-    def of(cls, life: RunnerLife, silent_ms: int) -> "LossId":
+    def of(cls, incarnation: RunnerLife, silent_ms: int) -> "LossId":
         """Return the id of the loss of an incarnation."""
-        return cls(life.id, silent_ms, life.born)
+        return cls(incarnation.id, silent_ms, incarnation.born)
 
 
 @final
@@ -327,13 +327,14 @@
 class Hello(msgspec.Struct, frozen=True, array_like=True):
     """First message of a connection, each way.
 
-    `life` is new at each start of the process. In a target's message `session` is the session to
-    resume, or 0 if it has none; in an entry's answer it is the session to use, or 0 if the named
-    one can't be resumed. `received` is the number of the last body that the sender received in it.
+    `incarnation` changes with each start of the process. In a target's message `session` is the
+    session to resume, or 0 if it has none; in an entry's answer it is the session to use, or 0 if
+    the named one can't be resumed. `received` is the number of the last body that the sender
+    received in it.
     """
 
     name: str
-    life: str
+    incarnation: str
     entry: bool
     hall: str
     address: str
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -146,17 +146,17 @@
         """
         self._collect(now)
         link = self._links.setdefault(hello.name, EntryLink())
-        if link.has_ended(hello.life, hello.session):
+        if link.has_ended(hello.incarnation, hello.session):
             return [note("session_over", entry=hello.name, session=hello.session)]
         session = link.session
-        if session is not None and link.is_current(hello.life, hello.session):
+        if session is not None and link.is_current(hello.incarnation, hello.session):
             session.resume(hello.received)
             link.connected(now)
             return [note("session_resumed", entry=hello.name)]
         effects = self._end_session(now, hello.name, "replaced") if session else []
         session = Session(hello.session, int(said * 1000))
         link.phase = len(self.session_names()) % BEAT_PHASES / BEAT_PHASES
-        link.open(now, hello.life, session)
+        link.open(now, hello.incarnation, session)
         for loss in self._losses.all(now):
             session.send(loss)
         fields: dict[str, str | int | float] = {"entry": hello.name, "session": hello.session}
--- a/packages/paddleshunt-core/src/paddleshunt_core/members.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/members.py
@@ -156,7 +156,7 @@
         return member.reported_suspect or now - last_received > limit
 
     def is_usable(self, member: Member, now: float) -> bool:
-        """Whether new work may go to the member."""
+        """Whether new work may be sent to the member."""
         return not member.leaving and not self.is_suspect(member, now)
 
     def record_heartbeat(
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -310,7 +310,7 @@
 
     def greeted(self, link: PeerLink, hello: Hello) -> None:
         """Take the greeting of an entry that was dialled."""
-        self.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
+        self.note(EntryAddress(hello.name, hello.address, hello.incarnation, hello.hall))
 
     def heard(self, link: PeerLink, frame: Frame) -> None:
         """Take what another entry says, over whichever connection."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -301,7 +301,7 @@
         """Take the greeting of a target, or of another entry."""
         now = self._now()
         if hello.entry:
-            self._peers.note(EntryAddress(hello.name, hello.address, hello.life, hello.hall))
+            self._peers.note(EntryAddress(hello.name, hello.address, hello.incarnation, hello.hall))
             link.send(self._hello(0, 0))
             return
         session, effects = self._dispatcher.greeted(now, hello)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/peerwords.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/peerwords.py
@@ -14,7 +14,7 @@
 
 def problem_with(entry: EntryAddress) -> str:
     """Return why an entry can't be dialled or named; empty if it can."""
-    if not 0 < len(entry.name) <= MOST_NAME or len(entry.life) > MOST_NAME:
+    if not 0 < len(entry.name) <= MOST_NAME or len(entry.incarnation) > MOST_NAME:
         return "name or life too long, or no name"
     try:
         split_address(entry.address)
--- a/testing/core/leased/test_odd_frames.py
+++ b/testing/core/leased/test_odd_frames.py
@@ -37,7 +37,7 @@
 """Odd frames that each side receives in one test."""
 
 
-class Odd:
+class OddFrames:
     """Generates random message bodies with implausible values."""
 
     def __init__(self, rng: Random) -> None:
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_odd_frames_raise_nothing_and_replies_can_be_encoded(seed: int) -> None:
-    odd = Odd(Random(seed))
+    generator = OddFrames(Random(seed))
     fleet = Fleet(1, 2)
     fleet.settle()
     fleet.submit("e0", "job", count=3, length=1.0)
@@ -102,10 +102,10 @@
     dispatcher, worker = fleet.dispatchers["e0"], fleet.workers["t0"]
     now_ms = int(fleet.now * 1000)
     for _ in range(FRAMES):
-        dispatcher.heard(fleet.now, "t0", odd.frame(now_ms, dispatcher.session("t0")))
+        dispatcher.heard(fleet.now, "t0", generator.frame(now_ms, dispatcher.session("t0")))
         dispatcher.place_waiting(fleet.now)
         dispatcher.tick(fleet.now)
-        worker.heard(fleet.now, "e0", odd.frame(now_ms, worker.session("e0")))
+        worker.heard(fleet.now, "e0", generator.frame(now_ms, worker.session("e0")))
         worker.tick(fleet.now)
         worker.prepare_frames(fleet.now)
         for session in (dispatcher.session("t0"), worker.session("e0")):
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -20,7 +20,7 @@
 
 
 class Target:
-    """A worker in session with three entries, whose runner has room for six tasks."""
+    """A worker in session with three entries, whose runner has capacity for six tasks."""
 
     def __init__(self, busy: int) -> None:
         self.now = 1.0
