--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
@@ -82,7 +82,7 @@
         self._progress.append((now, work, seconds))
 
     def speed(self, now: float) -> float:
-        """Return the estimated work done per second of running; 1.0 if unknown."""
+        """Return the seconds of estimated work done per second of running; 1.0 if unknown."""
         while self._progress and self._progress[0][0] < now - SPEED_WINDOW_SECONDS:
             self._progress.popleft()
         seconds = sum(sample[2] for sample in self._progress)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/pausedetector.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/pausedetector.py
@@ -8,10 +8,10 @@
 
 @final
 class PauseDetector:
-    """Watches the time between calls; more than `longest` seconds count as a pause."""
+    """Watches the time between calls; more than `max_gap` seconds count as a pause."""
 
-    def __init__(self, longest: float) -> None:
-        self._longest = longest
+    def __init__(self, max_gap: float) -> None:
+        self._max_gap = max_gap
         self._last_call: float | None = None
         self._resumed = float("-inf")
 
@@ -19,7 +19,7 @@
         """Record that the process runs; return the length of the pause before, 0.0 if none."""
         previous = self._last_call
         self._last_call = now
-        if previous is None or now - previous <= self._longest:
+        if previous is None or now - previous <= self._max_gap:
             return 0.0
         self._resumed = now
         return now - previous
--- a/packages/paddleshunt-core/src/paddleshunt_core/links.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/links.py
@@ -52,7 +52,9 @@
     asked_at: float | None = None
     """When the first inquiry since the gate's last report was sent; None if none was."""
     gap: bool = False
+    """Whether a report before the last one is missing."""
     own_in_load: int = 0
+    """Tasks of this home in the last reported load."""
     last_sent: float = 0.0
     seen_seq: int = 0
     """Highest number of this home's messages that the gate has reported as seen."""
@@ -89,7 +91,7 @@
         return min(1.0, max(0.0, now - self.load_at) / LOAD_MEMORY)
 
     def stamp_ms(self, now: float) -> int:
-        """Estimate the gate's clock."""
+        """Return an estimate of the gate's clock in milliseconds."""
         return int((now + self.clock_ahead) * 1000)
 
     def update_load(self, now: float, load: Load, clock_ms: int) -> None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/members.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/members.py
@@ -94,7 +94,7 @@
         return self.heartbeat.leaving or self.listed is HostState.LEAVING
 
     def clock_ms(self, now: float) -> int:
-        """Estimate its current clock."""
+        """Return an estimate of its current clock in milliseconds."""
         return self.heartbeat.clock_ms + int((now - self.sent) * 1000)
 
 
--- a/testing/core/test_imports.py
+++ b/testing/core/test_imports.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda file: file.stem)
-def test_randomness_comes_from_outside(file: Path) -> None:
+def test_random_generators_are_passed_in(file: Path) -> None:
     tree = ast.parse(file.read_text())
     names = {
         alias.name
@@ -51,5 +51,5 @@
     assert not [f for f in calls if isinstance(f, ast.Name) and f.id in {"Random", "open"}]
 
 
-def test_the_walk_sees_a_clock() -> None:
+def test_imported_modules_include_clocks() -> None:
     assert imported(ast.parse("from time import monotonic\nimport os.path")) == {"time", "os"}
