--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -27,7 +27,7 @@
 @final
 @dataclass(slots=True)
 class EntryLink:
-    """One entry: its process start (`incarnation`) and the session with it. Times are steady seconds."""
+    """One entry's incarnation and the session with it. Times are steady seconds."""
 
     incarnation: str = ""
     session: Session | None = None
@@ -58,7 +58,7 @@
     _stamp_due: bool = False
     """Whether to send a stamp at once, to confirm the lease for pending runs."""
     _newest_session: int = 0
-    """Number of the newest session with this process start of the entry; numbers increase."""
+    """Number of the newest session with this incarnation of the entry; numbers increase."""
     _last_ends_number: int = 0
     """Number of the last body that reported ends of runs."""
 
