--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/__init__.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/__init__.py
@@ -1,5 +1,5 @@
 """Processes for leased jobs: one asyncio loop each, around `paddleshunt_core.leased`.
 
-Held callers, callers that leave and links that go half-open are why these do not use the threads
-of `cheroot`, `urllib3` and `pynng`; docs/design/platform.md has the measurements.
+They use no threads of `cheroot`, `urllib3` or `pynng`, as these don't suit deferred responses and
+the detection of disconnected callers and half-open connections; see docs/design/platform.md.
 """
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/catalogpack.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/catalogpack.py
@@ -1,4 +1,4 @@
-"""A configuration as it travels between entries: packed, and bounded where it is unpacked."""
+"""Compression of configurations that entries send to one another."""
 
 import zlib
 
@@ -7,36 +7,36 @@
 from paddleshunt_core.leased.refusals import UNREADABLE
 from paddleshunt_core.leased.wire import PackedCatalog
 
-MAX_UNPACKED = 8 << 20
-"""Bytes of a configuration, above which a packed one is refused."""
+MAX_UNPACKED_BYTES = 8 << 20
+"""Maximum size of a decompressed configuration in bytes."""
 
 PACK_LEVEL = 1
-"""Level of zlib: the one that takes the least processor time."""
+"""zlib compression level; 1 is the fastest."""
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Catalog)
 
 
 class CatalogPackError(ValueError):
-    """A packed configuration can't be read."""
+    """A packed configuration is invalid."""
 
 
 def pack(catalog: Catalog) -> PackedCatalog:
-    """Return a configuration, packed."""
+    """Return the compressed configuration."""
     content = zlib.compress(_encoder.encode(catalog), PACK_LEVEL)
     return PackedCatalog(catalog.version, content)
 
 
 def unpack(packed: PackedCatalog) -> Catalog:
     """Return the configuration in `packed`; raises `CatalogPackError`."""
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        content = unpacker.decompress(packed.content, MAX_UNPACKED)
-        if not unpacker.eof:
-            raise CatalogPackError(f"cut off, or more than {MAX_UNPACKED} bytes")
+        content = decompressor.decompress(packed.content, MAX_UNPACKED_BYTES)
+        if not decompressor.eof:
+            raise CatalogPackError(f"truncated, or more than {MAX_UNPACKED_BYTES} bytes unpacked")
         catalog = _decoder.decode(content)
     except (zlib.error, *UNREADABLE) as problem:
         raise CatalogPackError(str(problem)) from problem
     if catalog.version != packed.version:
-        raise CatalogPackError(f"version {catalog.version} packed as {packed.version}")
+        raise CatalogPackError(f"expected version {packed.version}, found {catalog.version}")
     return catalog
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/clock.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/clock.py
@@ -1,43 +1,42 @@
-"""The clocks of the processes of leased jobs, and which of them decides.
+"""The clocks of the processes for leased jobs.
 
-All that is decided by time, leases, sessions, deadlines, stand-stills and the age of what is known,
-goes by `now`. It counts the time for which the host was suspended: the others did not wait.
-`steady` does not count it. It serves where a time must not be taken for longer than another host's
-clock may have run, which may have been suspended as well. Timers of the event loop wait by it too:
-what they wake up asks `now` before it decides.
+Leases, sessions, deadlines, pauses and ages are measured by `now`, which includes the time for
+which the host was suspended. `steady` excludes it; it is used to estimate another host's clock,
+which must not be overestimated, as that host may have been suspended too. Timers of the event loop
+run by `steady`, so their callbacks check `now` before they act.
 """
 
 from time import CLOCK_BOOTTIME, clock_gettime, monotonic
 from typing import final
 
 NOISE_SECONDS = 0.001
-"""Seconds by which the two clocks may seem to run apart between two readings."""
+"""Seconds of difference between the two clocks that count as no suspension."""
 
 
 def now() -> float:
-    """Return the seconds by which all is decided, since some moment before the process began."""
+    """Return the seconds since the host's boot, including suspensions."""
     return clock_gettime(CLOCK_BOOTTIME)
 
 
 def steady() -> float:
-    """Return the seconds for which the host was not suspended, since some moment."""
+    """Return the seconds since an arbitrary start, excluding suspensions."""
     return monotonic()
 
 
 @final
 class SuspensionDetector:
-    """Notices that the host was suspended."""
+    """Detects suspensions of the host."""
 
     def __init__(self) -> None:
-        self._apart = now() - steady()
+        self._offset = now() - steady()
 
     def read(self) -> tuple[float, float]:
-        """Return `now`, and for how many seconds the host was suspended since this was called."""
-        moment = now()
-        # A pause between the two readings makes them seem nearer, never further apart.
-        apart = moment - steady()
-        suspended = apart - self._apart
+        """Return `now`, and the seconds of suspension since the last call."""
+        current = now()
+        # A pause between the two readings makes the offset smaller, never larger.
+        offset = current - steady()
+        suspended = offset - self._offset
         if suspended < NOISE_SECONDS:
-            return moment, 0.0
-        self._apart = apart
-        return moment, suspended
+            return current, 0.0
+        self._offset = offset
+        return current, suspended
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -1,4 +1,4 @@
-"""Connections between processes: msgspec messages, each behind its length, over TCP."""
+"""Connections between processes: length-prefixed MessagePack messages over TCP."""
 
 import asyncio
 from typing import Protocol, final
@@ -12,36 +12,41 @@
 from paddleshunt_node.aio.sockets import set_socket_options
 
 LENGTH_BYTES = 4
-MAX_MESSAGE = 8 << 20
-"""Bytes of a message, above which the connection is broken off."""
+"""Size of the big-endian length prefix."""
 
-_hello = msgspec.msgpack.Decoder(Hello)
-_frame = msgspec.msgpack.Decoder(Frame)
+MAX_MESSAGE_BYTES = 8 << 20
+"""Maximum size of a message; a larger one closes the connection."""
+
+_hello_decoder = msgspec.msgpack.Decoder(Hello)
+_frame_decoder = msgspec.msgpack.Decoder(Frame)
 _encoder = msgspec.msgpack.Encoder()
 
 
 class PeerHandler(Protocol):
-    """Takes what comes over one connection."""
+    """Receives the events of connections."""
 
     def connection_opened(self, link: "PeerLink") -> None:
-        """Take a connection that has just been made."""
+        """Called when the connection has been made."""
 
     def hello_received(self, link: "PeerLink", hello: Hello) -> None:
-        """Take the peer's greeting."""
+        """Called for the hello, the peer's first message."""
 
     def frame_received(self, link: "PeerLink", frame: Frame) -> None:
-        """Take a frame."""
+        """Called for each frame."""
 
     def message_refused(self, link: "PeerLink", refusal: Refusal) -> None:
-        """Take note of a message that can't be read; the connection is broken off."""
+        """Called for an invalid message, before the connection is closed."""
 
     def connection_closed(self, link: "PeerLink") -> None:
-        """Take the end of the connection."""
+        """Called when the connection has ended."""
 
 
 @final
 class PeerLink(SharedBufferProtocol):
-    """One connection. `peer` is the name in the peer's greeting, empty before it."""
+    """One connection to a peer; `peer` is its name, empty until its hello arrives.
+
+    `silence` is the time-out of unacknowledged data, in seconds.
+    """
 
     def __init__(self, handler: PeerHandler, silence: float) -> None:
         self._handler = handler
@@ -50,24 +55,24 @@
         self._transport: asyncio.Transport | None = None
         self.peer = ""
         self.created_at = clock.now()
-        """When it was dialled or taken."""
+        """When the connection was dialled or accepted."""
         self.written = 0
-        """Bytes that were handed to it."""
+        """Bytes written so far."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Configure the new connection and notify the handler."""
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
         set_socket_options(transport, self._silence)
         self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes and hand on the whole messages."""
+        """Buffer received bytes, and handle the complete messages."""
         self._buffer += data
         while len(self._buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
-            if length > MAX_MESSAGE:
-                self._refuse(f"{length} bytes")
+            if length > MAX_MESSAGE_BYTES:
+                self._refuse(f"message of {length} bytes exceeds {MAX_MESSAGE_BYTES}")
                 return
             if len(self._buffer) < LENGTH_BYTES + length:
                 return
@@ -77,12 +82,12 @@
                 return
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the end of the connection."""
+        """Notify the handler that the connection has ended."""
         self._transport = None
         self._handler.connection_closed(self)
 
     def send(self, message: Hello | Frame) -> None:
-        """Send a message; on a connection that has ended it is dropped."""
+        """Send a message; drop it if the connection has ended."""
         if self._transport is None or self._transport.is_closing():
             return
         packed = _encoder.encode(message)
@@ -91,7 +96,7 @@
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """Where it writes; None once it has ended."""
+        """The connection's transport; None once it has ended."""
         return self._transport
 
     @property
@@ -100,38 +105,40 @@
         return self._transport is not None and not self._transport.is_closing()
 
     def close(self) -> None:
-        """Break the connection off at once; what is not sent yet is dropped."""
+        """Abort the connection, dropping unsent messages."""
         if self._transport is not None:
             self._transport.abort()
 
     def _handle(self, message: bytes) -> bool:
         if self.peer:
             try:
-                frame = _frame.decode(message)
+                frame = _frame_decoder.decode(message)
             except UNREADABLE as problem:
                 self._refuse(str(problem))
                 return False
             self._handler.frame_received(self, frame)
         else:
             try:
-                hello = _hello.decode(message)
+                hello = _hello_decoder.decode(message)
             except UNREADABLE as problem:
                 self._refuse(str(problem))
                 return False
             if not hello.name:
-                self._refuse("no name")
+                self._refuse("hello without a name")
                 return False
             self.peer = hello.name
             self._handler.hello_received(self, hello)
         return self._transport is not None
 
     def _refuse(self, problem: str) -> None:
-        """Break off a connection over which something came that can't be read."""
+        """Report an invalid message, and close the connection."""
         word = Word.FRAME if self.peer else Word.GREETING
-        self._handler.message_refused(self, Refusal(word, self.peer or self._remote(), problem))
+        self._handler.message_refused(
+            self, Refusal(word, self.peer or self._remote_host(), problem)
+        )
         self.close()
 
-    def _remote(self) -> str:
-        """Return the host of a peer that has no name yet."""
+    def _remote_host(self) -> str:
+        """Return the peer's host, or "" if it is unknown."""
         address = self._transport and self._transport.get_extra_info("peername")
         return str(address[0]) if address else ""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -1,4 +1,4 @@
-"""What the processes ask of the surroundings; an adapter implements these for a platform."""
+"""Interfaces between the processes and a platform, which an adapter implements."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -23,66 +23,66 @@
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer, or would not."""
+    """The store is unreachable, or rejected the request."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class OtherIncarnation:
-    """A runner of another id answered than the one meant."""
+    """Poll result: the runner at the address is not the expected one."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """A look's answer that says nothing: another life is meant since the look was sent."""
+    """Poll result to ignore: another incarnation is expected since the poll was sent."""
 
 
 class RunnerPort(Protocol):
-    """The runner beside a target."""
+    """The runner on a target's host."""
 
-    def expect(self, life: RunnerLife | None) -> None:
-        """Mean another life of the runner with what follows than before; None for any."""
+    def expect(self, incarnation: RunnerLife | None) -> None:
+        """Address the next calls to this incarnation; None for any."""
 
-    def refine_identity(self, life: RunnerLife) -> None:
-        """Take a fuller name of the life that is meant."""
+    def refine_identity(self, incarnation: RunnerLife) -> None:
+        """Replace the expected incarnation's identity by a more complete one."""
 
     def supersede(self) -> None:
-        """Have the runner refuse what it was ordered until now, once the next call reaches it."""
+        """Make the runner reject all earlier orders once the next call reaches it."""
 
     async def start(self, order: StartRun, may_send: Callable[[], bool]) -> StartAnswer:
-        """Order a start, unless `may_send` says no right before the order leaves."""
+        """Order a start, unless `may_send` returns False right before it is sent."""
 
     async def stop(self, order: StopRun) -> bool:
         """Order a stop; return whether the runner confirmed it."""
 
-    async def is_current_incarnation(self, life: RunnerLife) -> bool | None:
-        """Ask whether this life of the runner is the one there; None: that isn't said."""
+    async def is_current_incarnation(self, incarnation: RunnerLife) -> bool | None:
+        """Ask whether this is the running incarnation; None if the answer doesn't tell."""
 
     async def poll(self, poll: Look) -> LookAnswer | OtherIncarnation | Superseded | None:
-        """Renew the lease and look at what runs; None: no answer."""
+        """Renew the lease and list the runs; None if there was no answer."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class OperatorUpdate:
-    """What the operator has written: a newer configuration, evacuated halls; None: no news."""
+    """Changes that the operator has written to the store; None where nothing changed."""
 
     catalog: Catalog | None = None
     evacuated: EvacuatedHalls | None = None
 
 
 class StorePort(Protocol):
-    """The platform's store, as far as an entry or a target needs it."""
+    """The parts of the platform's store that entries and targets use."""
 
     async def next_update(self) -> OperatorUpdate:
-        """Wait for what the operator writes, for a while; raises `StoreUnavailableError`."""
+        """Wait a limited time for an update; raises `StoreUnavailableError`."""
 
     async def announce(self, entry: EntryAddress, seconds: float) -> None:
-        """Tell others of this entry, for `seconds` or until told again."""
+        """Store this entry's address for `seconds`; raises `StoreUnavailableError`."""
 
     async def withdraw(self) -> None:
-        """Take the announcement back."""
+        """Remove this entry's address; raises `StoreUnavailableError`."""
 
     async def entries(self) -> list[EntryAddress]:
         """Return the announced entries; raises `StoreUnavailableError`."""
@@ -91,38 +91,38 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A request that hands in a job."""
+    """A decoded request that submits a job."""
 
     queue: Queue
     job: JobRequest
 
 
 class CallerCodec(Protocol):
-    """Turns callers' requests into jobs, and outcomes into answers."""
+    """Decodes callers' requests, and encodes outcomes as responses."""
 
     def read(self, request: Request, catalog: Catalog) -> Submission | Response:
-        """Return the job, or the answer to a request that is none."""
+        """Return the submitted job, or the response to an invalid request."""
 
     def answer(self, outcome: JobOutcome) -> Response:
-        """Return the answer that tells the outcome."""
+        """Return the response for an outcome."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class RunnerDeregistration:
-    """A runner's word that it ends now; an id alone may be of any of its lives."""
+    """A runner's message that it is shutting down; without a start time it fits any incarnation."""
 
     runner: RunnerLife
 
 
 class RegistrationCodec(Protocol):
-    """Turns the requests by which a runner registers into accounts."""
+    """Decodes a runner's heartbeats and deregistrations, and encodes the responses."""
 
     def read(self, request: Request) -> RunnerAccount | RunnerDeregistration | Response:
-        """Return what the runner says, or the answer to a request that is none."""
+        """Return the decoded message, or the response to an invalid request."""
 
     def acknowledge(self) -> Response:
-        """Return the answer that takes note of it."""
+        """Return the response to a message that was accepted."""
 
     def decline(self) -> Response:
-        """Return the answer to an account that nothing follows from; it is to be said again."""
+        """Return the response to a heartbeat that was not accepted, so that it is repeated."""
--- a/testing/node/aio/test_catalogpack.py
+++ b/testing/node/aio/test_catalogpack.py
@@ -1,4 +1,4 @@
-"""Configurations as entries hand them to one another."""
+"""Tests for the compression of configurations."""
 
 import zlib
 
@@ -16,11 +16,11 @@
 )
 
 
-def test_a_configuration_comes_back_as_it_was() -> None:
+def test_round_trip() -> None:
     assert unpack(pack(CATALOG)) == CATALOG
 
 
-def test_a_large_one_takes_a_fraction_of_its_bytes() -> None:
+def test_large_configuration_is_compressed() -> None:
     assert len(pack(CATALOG).content) < len(msgspec.msgpack.encode(CATALOG)) / 4
 
 
@@ -28,19 +28,19 @@
     ("content", "problem"),
     [
         (b"no", "incorrect header"),
-        (pack(CATALOG).content[:-9], "cut off"),
+        (pack(CATALOG).content[:-9], "truncated"),
         (zlib.compress(b"\xc1"), "invalid|malformed"),
         (zlib.compress(msgspec.msgpack.encode([7])), "array"),
-        (pack(Catalog(6, [], [])).content, "version 6 packed as 7"),
+        (pack(Catalog(6, [], [])).content, "expected version 7, found 6"),
     ],
-    ids=["not-packed", "cut", "no-message", "no-catalog", "another-version"],
+    ids=["no-zlib", "truncated", "no-msgpack", "no-catalog", "another-version"],
 )
-def test_what_can_not_be_read_is_an_error(content: bytes, problem: str) -> None:
+def test_invalid_content_is_rejected(content: bytes, problem: str) -> None:
     with pytest.raises(CatalogPackError, match=problem):
         unpack(PackedCatalog(7, content))
 
 
-def test_one_that_unpacks_to_too_much_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(catalogpack, "MAX_UNPACKED", 1000)
+def test_oversized_configuration_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(catalogpack, "MAX_UNPACKED_BYTES", 1000)
     with pytest.raises(CatalogPackError, match="more than 1000 bytes"):
         unpack(pack(CATALOG))
--- a/testing/node/aio/test_clock.py
+++ b/testing/node/aio/test_clock.py
@@ -1,4 +1,4 @@
-"""Which clock decides, and that no other is read beside it."""
+"""Tests for `SuspensionDetector`, and that no module reads another clock."""
 
 import ast
 from pathlib import Path
@@ -12,17 +12,17 @@
     *sorted((ROOT / "platform/paddleshunt_council").glob("*.py")),
 ]
 CLOCKS = {"monotonic", "monotonic_ns", "perf_counter", "clock_gettime", "call_at"}
-OF_THE_LOOP = "time"
+LOOP_CLOCK = "time"
 STEADY = "steady"
 WALL_CLOCK = {"logwriter.py"}
-"""The time of day, for the lines of the log; nothing is decided by it."""
+"""Modules that may read the time of day, for log lines only."""
 
 ESTIMATES = {"runner.py"}
-"""Where another host's clock must not be taken for further than it may be."""
+"""Modules that may read `steady`, to estimate another host's clock."""
 
 
 def names(file: Path) -> set[str]:
-    """Return the functions that a module calls or imports, by their last name."""
+    """Return the unqualified names of the functions that a module calls or imports."""
     tree = ast.parse(file.read_text())
     called = {
         node.func.attr if isinstance(node.func, ast.Attribute) else getattr(node.func, "id", "")
@@ -39,19 +39,19 @@
 
 
 @pytest.mark.parametrize("file", SOURCES, ids=lambda file: file.name)
-def test_no_module_reads_a_clock_of_its_own(file: Path) -> None:
+def test_modules_read_time_through_the_clock_module(file: Path) -> None:
     if file.name == "clock.py":
         return
     found = names(file)
     assert not found & CLOCKS
     if file.name not in WALL_CLOCK:
-        assert OF_THE_LOOP not in found
+        assert LOOP_CLOCK not in found
     if file.name not in ESTIMATES:
         assert STEADY not in found
 
 
 class Clocks:
-    """Both clocks of a host."""
+    """Fake clocks of a host."""
 
     def __init__(self) -> None:
         self.now = 50.0
@@ -74,29 +74,29 @@
 
 
 @pytest.mark.parametrize("seconds", [0.2, 1.0, 4.0, 10.0])
-def test_a_suspension_is_noticed_once(seconds: float, clocks: Clocks) -> None:
-    suspensions = clock.SuspensionDetector()
+def test_suspension_is_reported_once(seconds: float, clocks: Clocks) -> None:
+    detector = clock.SuspensionDetector()
     clocks.run(3.0)
-    assert suspensions.read() == (53.0, 0.0)
+    assert detector.read() == (53.0, 0.0)
     clocks.suspend(seconds)
-    moment, suspended = suspensions.read()
-    assert moment == 53.0 + seconds
+    current, suspended = detector.read()
+    assert current == 53.0 + seconds
     assert suspended == pytest.approx(seconds)
     clocks.run(0.5)
-    assert suspensions.read()[1] == 0.0
+    assert detector.read()[1] == 0.0
 
 
-def test_a_pause_between_the_readings_of_both_clocks_is_no_suspension(
+def test_pause_between_the_readings_is_no_suspension(
     clocks: Clocks, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    suspensions = clock.SuspensionDetector()
+    detector = clock.SuspensionDetector()
     monkeypatch.setattr(clock, "steady", lambda: clocks.steady + 0.1)
-    assert suspensions.read() == (50.0, 0.0)
+    assert detector.read() == (50.0, 0.0)
     monkeypatch.setattr(clock, "steady", lambda: clocks.steady)
-    assert suspensions.read() == (50.0, 0.0)
+    assert detector.read() == (50.0, 0.0)
 
 
-def test_clocks_that_are_read_apart_are_no_suspension(clocks: Clocks) -> None:
-    suspensions = clock.SuspensionDetector()
+def test_small_difference_between_the_clocks_is_no_suspension(clocks: Clocks) -> None:
+    detector = clock.SuspensionDetector()
     clocks.suspend(clock.NOISE_SECONDS / 2)
-    assert suspensions.read()[1] == 0.0
+    assert detector.read()[1] == 0.0
--- a/testing/node/aio/test_framing.py
+++ b/testing/node/aio/test_framing.py
@@ -1,4 +1,4 @@
-"""Messages between processes, and what is done with bytes that are none."""
+"""Tests for `PeerLink`: message framing, and the refusal of invalid messages."""
 
 import asyncio
 from typing import cast
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 from paddleshunt_core.leased.refusals import Refusal, Word
 from paddleshunt_core.leased.wire import CatalogVersion, Frame, Hello
-from paddleshunt_node.aio.framing import MAX_MESSAGE, PeerLink
+from paddleshunt_node.aio.framing import MAX_MESSAGE_BYTES, PeerLink
 
 HELLO = Hello("t1", "life", False, "hall", "10.0.0.1:7720", 0, 0)
 FRAME = Frame(1, 0, 5, 5, [CatalogVersion(3)])
 
 
 class Handler:
-    """Notes what comes."""
+    """A `PeerHandler` that records its calls."""
 
     def __init__(self) -> None:
         self.hellos: list[Hello] = []
@@ -40,7 +40,7 @@
 
 
 class Transport(asyncio.Transport):
-    """A connection from 10.0.0.9 that notes its end."""
+    """A transport connected to 10.0.0.9 that records its abort."""
 
     aborted = False
 
@@ -61,27 +61,27 @@
     return link, handler, transport
 
 
-def packed(message: bytes) -> bytes:
+def with_length(message: bytes) -> bytes:
     return len(message).to_bytes(4, "big") + message
 
 
 def greet(link: PeerLink) -> None:
-    link.data_received(packed(msgspec.msgpack.encode(HELLO)))
+    link.data_received(with_length(msgspec.msgpack.encode(HELLO)))
 
 
 BAD = {
-    "empty": packed(b""),
-    "cut": packed(msgspec.msgpack.encode(FRAME)[:-1]),
-    "another-type": packed(msgspec.msgpack.encode({"first": 1})),
-    "text": packed(msgspec.msgpack.encode(["1", "2", 3, 4, []])),
-    "no-text": packed(b"\x95\x01\x00\x00\x00\x91\x92\x08\xa2\xff\xfe"),
-    "deep": packed(b"\x96\x01\x00\x00\x00\x90" + b"\x91" * 100_000),
-    "long": (MAX_MESSAGE + 1).to_bytes(4, "big"),
+    "empty": with_length(b""),
+    "truncated": with_length(msgspec.msgpack.encode(FRAME)[:-1]),
+    "another-type": with_length(msgspec.msgpack.encode({"first": 1})),
+    "text": with_length(msgspec.msgpack.encode(["1", "2", 3, 4, []])),
+    "invalid-utf8": with_length(b"\x95\x01\x00\x00\x00\x91\x92\x08\xa2\xff\xfe"),
+    "deeply-nested": with_length(b"\x96\x01\x00\x00\x00\x90" + b"\x91" * 100_000),
+    "too-long": (MAX_MESSAGE_BYTES + 1).to_bytes(4, "big"),
 }
 
 
 @pytest.mark.parametrize("data", BAD.values(), ids=BAD.keys())
-def test_a_frame_that_can_not_be_read_is_told_with_its_sender(data: bytes) -> None:
+def test_invalid_frame_is_refused_with_its_sender(data: bytes) -> None:
     link, handler, transport = connect()
     greet(link)
     link.data_received(data)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("data", BAD.values(), ids=BAD.keys())
-def test_a_greeting_that_can_not_be_read_is_told_with_its_host(data: bytes) -> None:
+def test_invalid_hello_is_refused_with_its_host(data: bytes) -> None:
     link, handler, transport = connect()
     link.data_received(data)
     assert [(one.word, one.sender) for one in handler.refusals] == [(Word.GREETING, "10.0.0.9")]
@@ -99,18 +99,18 @@
     assert handler.hellos == []
 
 
-def test_a_greeting_without_a_name_is_refused() -> None:
+def test_hello_without_name_is_refused() -> None:
     link, handler, transport = connect()
     nameless = msgspec.msgpack.encode(msgspec.structs.replace(HELLO, name=""))
-    link.data_received(packed(nameless))
-    assert [one.problem for one in handler.refusals] == ["no name"]
+    link.data_received(with_length(nameless))
+    assert [one.problem for one in handler.refusals] == ["hello without a name"]
     assert transport.aborted
 
 
-def test_what_comes_behind_a_frame_that_can_not_be_read_is_not_taken() -> None:
+def test_messages_after_an_invalid_frame_are_ignored() -> None:
     link, handler, _ = connect()
     greet(link)
-    good = packed(msgspec.msgpack.encode(FRAME))
+    good = with_length(msgspec.msgpack.encode(FRAME))
     link.data_received(good + BAD["text"] + good)
     assert handler.frames == [FRAME]
 
@@ -123,23 +123,23 @@
 
 @settings(max_examples=150, derandomize=True, database=None, deadline=None)
 @given(message=values, cut=st.integers(0, 3), greeted=st.booleans())
-def test_whatever_comes_is_a_message_or_a_refusal(message: object, cut: int, greeted: bool) -> None:
+def test_any_input_is_decoded_or_refused(message: object, cut: int, greeted: bool) -> None:
     link, handler, transport = connect()
     if greeted:
         greet(link)
     raw = msgspec.msgpack.encode(message)
-    link.data_received(packed(raw[: max(0, len(raw) - cut)]))
-    taken = handler.frames if greeted else handler.hellos
-    assert len(taken) + len(handler.refusals) == 1
+    link.data_received(with_length(raw[: max(0, len(raw) - cut)]))
+    accepted = handler.frames if greeted else handler.hellos
+    assert len(accepted) + len(handler.refusals) == 1
     assert transport.aborted is bool(handler.refusals)
 
 
 @settings(max_examples=150, derandomize=True, database=None, deadline=None)
-@given(place=st.integers(0, 4), odd=values)
-def test_a_field_of_another_type_is_refused(place: int, odd: object) -> None:
+@given(position=st.integers(0, 4), value=values)
+def test_field_of_another_type_is_decoded_or_refused(position: int, value: object) -> None:
     link, handler, _ = connect()
     greet(link)
     fields = [1, 0, 5, 5, [[8, 3]]]
-    fields[place] = odd  # type: ignore[call-overload]
-    link.data_received(packed(msgspec.msgpack.encode(fields)))
+    fields[position] = value  # type: ignore[call-overload]
+    link.data_received(with_length(msgspec.msgpack.encode(fields)))
     assert len(handler.frames) + len(handler.refusals) == 1
