--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/earlyrequests.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/earlyrequests.py
@@ -1,6 +1,6 @@
-"""Requests that come before an entry has read its first configuration.
+"""Requests that arrive before an entry has its first configuration.
 
-They wait a moment for it, as the store answers in milliseconds; without one they are refused.
+They are held until it arrives, and refused after `HOLD_SECONDS`.
 """
 
 import asyncio
@@ -12,10 +12,10 @@
 from paddleshunt_node.aio.httpserver import Exchange, Response
 
 HOLD_SECONDS = 0.5
-"""Longest time that a request waits for the configuration."""
+"""Maximum seconds for which a request is held."""
 
 MAX_HELD = 1000
-"""Requests that may wait at once."""
+"""Maximum number of held requests."""
 
 
 @final
@@ -27,14 +27,14 @@
 
 @final
 class EarlyRequests:
-    """The requests that wait, by their numbers."""
+    """The held requests; `refusal` makes the response to those that are refused."""
 
     def __init__(self, refusal: Callable[[], Response]) -> None:
         self._refusal = refusal
         self._held: dict[int, _Held] = {}
 
     def hold(self, exchange: Exchange) -> None:
-        """Let a request wait; refuse it if there are too many, or once it has waited too long."""
+        """Hold a request; refuse it if too many are held, or after `HOLD_SECONDS`."""
         if len(self._held) >= MAX_HELD:
             exchange.respond(self._refusal())
             return
@@ -43,11 +43,11 @@
         loop.call_later(HOLD_SECONDS, lambda: self._refuse(exchange.number))
 
     def drop(self, number: int) -> None:
-        """Forget a request whose caller has left."""
+        """Remove a request whose caller has disconnected."""
         self._held.pop(number, None)
 
     def release(self) -> list[tuple[Exchange, float]]:
-        """Return the requests that wait, and for how many seconds each has; they wait no more."""
+        """Remove and return all held requests, each with the seconds it was held."""
         now = clock.now()
         released = [(held.exchange, now - held.since) for held in self._held.values()]
         self._held.clear()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
@@ -1,4 +1,4 @@
-"""What an entry shows of itself as metrics."""
+"""Gauges of an entry."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
     version: Callable[[], int],
     sessions: Callable[[], int],
 ) -> None:
-    """Add an entry's gauges to its measures; `version` and `sessions` are asked each time."""
+    """Add an entry's gauges to its metrics; `version` and `sessions` are called for each page."""
     metrics.gauge("paddleshunt_jobs", "Jobs held.", lambda: dispatcher.jobs)
     metrics.gauge("paddleshunt_catalog_version", "Version in force.", version)
     metrics.gauge("paddleshunt_sessions", "Targets in session.", sessions)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
@@ -1,4 +1,4 @@
-"""What is checked of other processes' words beyond their types: names and addresses of entries."""
+"""Validation of entries' names and addresses received from other processes."""
 
 from collections.abc import Iterable
 
@@ -8,14 +8,14 @@
 from paddleshunt_node.aio.sockets import AddressError, split_address
 
 MAX_NAME_LENGTH = 200
-"""Signs of a name or a life; they stand in lines of the log, and in keys of a store, which may have
-as many bytes."""
+"""Maximum characters of a name, and of a process's random id; both occur in log lines and in keys
+of the store."""
 
 
 def entry_problem(entry: EntryAddress) -> str:
-    """Return why an entry can't be dialled or named; empty if it can."""
+    """Return why an entry's name or address is invalid, or "" if both are valid."""
     if not 0 < len(entry.name) <= MAX_NAME_LENGTH or len(entry.life) > MAX_NAME_LENGTH:
-        return "name or life too long, or no name"
+        return f"name or life is empty or longer than {MAX_NAME_LENGTH} characters"
     try:
         split_address(entry.address)
     except AddressError as problem:
@@ -26,12 +26,12 @@
 def valid_entries(
     entries: Iterable[EntryAddress], sender: str, refuse: Refuse
 ) -> list[EntryAddress]:
-    """Return the entries that can be dialled; the others that `sender` told of are refused."""
-    found: list[EntryAddress] = []
+    """Return the valid entries; call `refuse` for each invalid one that `sender` sent."""
+    valid: list[EntryAddress] = []
     for entry in entries:
         problem = entry_problem(entry)
         if problem:
             refuse(Refusal(Word.ADDRESS, sender, problem))
         else:
-            found.append(entry)
-    return found
+            valid.append(entry)
+    return valid
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httptext.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httptext.py
@@ -1,4 +1,4 @@
-"""Writes the heads of HTTP/1.1 messages. Reading them is httptools' part."""
+"""Formatting of HTTP/1.1 message heads; httptools parses them."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -9,25 +9,25 @@
 
 
 class HeaderError(ValueError):
-    """A header would break the message."""
+    """A request target or header contains characters that aren't allowed there."""
 
 
 def request_head(method: str, target: str, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return a request's head; raises `HeaderError`."""
+    """Return the head of a request; raises `HeaderError`."""
     if " " in target or not target.isascii() or not target.isprintable():
-        raise HeaderError(f"target {target!r}")
-    return f"{method} {target} HTTP/1.1\r\n".encode("ascii") + _lines(headers) + CRLF
+        raise HeaderError(f"invalid request target {target!r}")
+    return f"{method} {target} HTTP/1.1\r\n".encode("ascii") + _header_lines(headers) + CRLF
 
 
 def response_head(status: int, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return an answer's head; raises `HeaderError`."""
-    return _STATUS_LINES[status] + _lines(headers) + CRLF
+    """Return the head of a response; raises `HeaderError`."""
+    return _STATUS_LINES[status] + _header_lines(headers) + CRLF
 
 
-def _lines(headers: Iterable[tuple[str, str]]) -> bytes:
-    text = []
+def _header_lines(headers: Iterable[tuple[str, str]]) -> bytes:
+    lines = []
     for name, value in headers:
         if not name.isascii() or not (name + value).isprintable() or ":" in name:
-            raise HeaderError(f"header {name!r}: {value!r}")
-        text.append(f"{name}: {value}\r\n")
-    return "".join(text).encode("latin-1")
+            raise HeaderError(f"invalid header {name!r}: {value!r}")
+        lines.append(f"{name}: {value}\r\n")
+    return "".join(lines).encode("latin-1")
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
@@ -1,7 +1,7 @@
 """Counters, gauges and latency histograms of a process for leased jobs.
 
-They are noted in plain tables and handed to aioprometheus for a page, or when many have gathered:
-a start has no time to import the library, and an event none to look up its series.
+They are recorded in plain tables, and passed to aioprometheus when a page is requested or many have
+accumulated: this keeps the library's import out of the start-up, and each event cheap.
 """
 
 from collections import Counter
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from paddleshunt_node.aio.metricspage import MetricsPage
 
-STAGES_KEPT = 4096
-"""Times of stages that gather before they are handed over, some 400 KB."""
+MAX_STAGES = 4096
+"""Maximum number of recorded stage times, about 400 KB; above it, they are passed on."""
 
 Series = tuple[str, tuple[tuple[str, str], ...]]
-"""The name of a counter, and the labels of one series of it."""
+"""The name of a counter, and the labels of one of its series."""
 
 ANSWERS = "paddleshunt_job_answers_total"
 ENDS = "paddleshunt_run_ends_total"
@@ -28,7 +28,7 @@
     EVENTS: "Events of the log.",
     REFUSED: "Words of others that were refused, by kind.",
 }
-"""What each counter counts."""
+"""Help text of each counter."""
 
 Labelled = list[tuple[dict[str, str], float]]
 """Values of one gauge, each with its labels."""
@@ -36,7 +36,7 @@
 
 @final
 class Metrics:
-    """All figures of one process."""
+    """All metrics of one process."""
 
     def __init__(self) -> None:
         self._counts: Counter[Series] = Counter()
@@ -54,17 +54,17 @@
         self._counts[ENDS, (("end", end),)] += 1
 
     def stage(self, name: str, seconds: float) -> None:
-        """Note the time spent in a stage."""
+        """Record the time spent in a stage."""
         self._stages.append((name, seconds))
-        if len(self._stages) >= STAGES_KEPT:
-            self._hand_over()
+        if len(self._stages) >= MAX_STAGES:
+            self._pass_stages()
 
     def gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
-        """Add a gauge whose value is read for each page."""
+        """Add a gauge; `read` is called for each page."""
         self._gauges[name] = (doc, read)
 
     def family(self, name: str, doc: str, read: Callable[[], Labelled]) -> None:
-        """Add a gauge with labels whose values are read for each page."""
+        """Add a gauge with labels; `read` is called for each page."""
         self._families[name] = (doc, read)
 
     def event(self, name: str) -> None:
@@ -72,14 +72,14 @@
         self._counts[EVENTS, (("event", name),)] += 1
 
     def refused(self, word: str) -> None:
-        """Count a refused word of somebody else."""
+        """Count a refused message."""
         self._counts[REFUSED, (("word", word),)] += 1
 
     def page(self) -> bytes:
-        """Return the page of all figures."""
-        return self._hand_over().render(self._counts, self._gauges, self._families)
+        """Return the metrics page."""
+        return self._pass_stages().render(self._counts, self._gauges, self._families)
 
-    def _hand_over(self) -> "MetricsPage":
+    def _pass_stages(self) -> "MetricsPage":
         if self._page is None:
             from paddleshunt_node.aio.metricspage import MetricsPage
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/metricspage.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metricspage.py
@@ -1,4 +1,4 @@
-"""The page of a process's figures, by aioprometheus."""
+"""The metrics page of a process, rendered by aioprometheus."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import final
@@ -14,7 +14,7 @@
 
 @final
 class MetricsPage:
-    """The library's collectors, filled for each page. `counters` says what each one counts."""
+    """aioprometheus collectors, filled for each page; `counters` maps names to help texts."""
 
     def __init__(self, counters: Mapping[str, str]) -> None:
         self._registry = Registry()
@@ -30,7 +30,7 @@
         self._gauges: dict[str, Gauge] = {}
 
     def observe(self, stages: Iterable[tuple[str, float]]) -> None:
-        """Take the names of stages and the seconds spent in them."""
+        """Add stage names with the seconds spent in them to the histogram."""
         for name, seconds in stages:
             self._stages.observe({"stage": name}, seconds)
 
@@ -40,7 +40,7 @@
         gauges: Mapping[str, tuple[str, Callable[[], float]]],
         families: Mapping[str, tuple[str, Callable[[], Labelled]]],
     ) -> bytes:
-        """Return the page for these counts, gauges, and gauges with labels."""
+        """Return the page with these counts, gauges, and labelled gauges (`families`)."""
         for (name, labels), count in counts.items():
             self._counters[name].set(dict(labels), count)
         for name, (doc, read) in gauges.items():
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sharedbuffer.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sharedbuffer.py
@@ -1,28 +1,27 @@
-"""Reading from connections without a large new buffer, and three system calls, for each read.
+"""A base protocol that reads into one buffer, shared by all connections of the event loop.
 
-asyncio's plain protocols read into 256 KiB that are allocated and cut down for each read, which
-maps, remaps and unmaps memory. Here all connections of the one loop read into the same buffer,
-whose content is copied before the next read.
+asyncio's plain protocols allocate and shrink a buffer of 256 KiB for each read, which costs three
+system calls to map, remap and unmap memory.
 """
 
 import asyncio
 
-READ_BYTES = 65536
+BUFFER_BYTES = 65536
 
-_buffer = memoryview(bytearray(READ_BYTES))
+_buffer = memoryview(bytearray(BUFFER_BYTES))
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """Base of protocols whose `data_received` takes what was read."""
+    """Base class of protocols that implement `data_received`."""
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have come."""
+        """Process received bytes."""
         raise NotImplementedError
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where to read to."""
+        """Return the shared buffer."""
         return _buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Hand on what was read."""
+        """Pass a copy of the received bytes to `data_received`."""
         self.data_received(bytes(_buffer[:nbytes]))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -1,4 +1,4 @@
-"""Addresses, and socket options for links that may fall silent."""
+"""Parsing of addresses, listening sockets and socket options."""
 
 import asyncio
 import re
@@ -8,9 +8,10 @@
 from paddleshunt_node import listening
 
 MAX_HOST_LENGTH = 253
-"""Signs of a host's name, as in DNS; one of its parts has at most `MAX_LABEL_LENGTH`."""
+"""Maximum characters of a host name in DNS."""
 
 MAX_LABEL_LENGTH = 63
+"""Maximum characters of one label of a host name in DNS."""
 MAX_PORT = 65535
 
 _HOST = re.compile(r"[A-Za-z0-9._:%\[\]-]+", re.ASCII)
@@ -18,16 +19,16 @@
 
 
 class AddressError(ValueError):
-    """A text is no host:port."""
+    """A text is no valid host:port."""
 
 
 def split_address(address: str) -> tuple[str, int]:
     """Return the host and the port of host:port; raises `AddressError`."""
     host, _, port = address.rpartition(":")
     if not _is_host(host):
-        raise AddressError(f"no host in {address[:MAX_HOST_LENGTH]!r}")
+        raise AddressError(f"no valid host in {address[:MAX_HOST_LENGTH]!r}")
     if not _PORT.fullmatch(port) or not 0 <= int(port) <= MAX_PORT:
-        raise AddressError(f"no port in {address[:MAX_HOST_LENGTH]!r}")
+        raise AddressError(f"no valid port in {address[:MAX_HOST_LENGTH]!r}")
     return host, int(port)
 
 
@@ -38,7 +39,7 @@
 
 
 async def serve(factory: Callable[[], asyncio.BaseProtocol], address: str) -> asyncio.Server:
-    """Serve at host:port, by the socket that listens there already if there is one.
+    """Serve at host:port, on the socket that already listens there if any.
 
     Raises `AddressError` or `OSError`.
     """
@@ -49,7 +50,7 @@
 
 
 def set_socket_options(transport: asyncio.BaseTransport, silence: float) -> None:
-    """Send small writes at once, and break a connection that is silent for `silence` seconds."""
+    """Disable Nagle's algorithm, and limit unacknowledged data to `silence` seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/testing/node/aio/test_earlyrequests.py
+++ b/testing/node/aio/test_earlyrequests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an entry's first configuration."""
+"""Tests for `EarlyRequests`."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,64 +10,64 @@
 from paddleshunt_node.aio.httpserver import Exchange, Response
 
 
-class Asked:
-    """An exchange that notes its answer."""
+class FakeExchange:
+    """An exchange that records its responses."""
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.answers: list[Response] = []
+        self.responses: list[Response] = []
 
     def respond(self, response: Response) -> None:
-        self.answers.append(response)
+        self.responses.append(response)
 
 
-def play(
+def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
-    scene: Callable[[EarlyRequests, list[Asked]], Awaitable[None]],
-) -> list[Asked]:
-    """Play a scene with two requests that wait; return them."""
-    asked = [Asked(1), Asked(2)]
+    scenario: Callable[[EarlyRequests, list[FakeExchange]], Awaitable[None]],
+) -> list[FakeExchange]:
+    """Run a scenario with two held requests, and return them."""
+    exchanges = [FakeExchange(1), FakeExchange(2)]
 
     async def run() -> None:
         early = EarlyRequests(lambda: Response(503))
-        for each in asked:
-            early.hold(cast("Exchange", each))
-        await scene(early, asked)
+        for exchange in exchanges:
+            early.hold(cast("Exchange", exchange))
+        await scenario(early, exchanges)
 
     monkeypatch.setattr(earlyrequests, "HOLD_SECONDS", 0.05)
     asyncio.run(asyncio.wait_for(run(), 20))
-    return asked
+    return exchanges
 
 
-def test_they_are_released_once_and_refused_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(early: EarlyRequests, asked: list[Asked]) -> None:
-        assert [exchange for exchange, _ in early.release()] == asked
+def test_released_requests_are_not_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(early: EarlyRequests, exchanges: list[FakeExchange]) -> None:
+        assert [exchange for exchange, _ in early.release()] == exchanges
         assert early.release() == []
         await asyncio.sleep(0.1)
 
-    assert [each.answers for each in play(monkeypatch, scene)] == [[], []]
+    assert [exchange.responses for exchange in run_scenario(monkeypatch, scenario)] == [[], []]
 
 
-def test_each_tells_how_long_it_has_waited(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(early: EarlyRequests, asked: list[Asked]) -> None:
+def test_release_returns_hold_times(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(early: EarlyRequests, exchanges: list[FakeExchange]) -> None:
         await asyncio.sleep(0.02)
         assert all(waited >= 0.015 for _, waited in early.release())
 
-    play(monkeypatch, scene)
+    run_scenario(monkeypatch, scenario)
 
 
-def test_without_a_configuration_they_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(early: EarlyRequests, asked: list[Asked]) -> None:
+def test_requests_are_refused_after_the_hold_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(early: EarlyRequests, exchanges: list[FakeExchange]) -> None:
         early.drop(2)
         await asyncio.sleep(0.1)
 
-    assert [len(each.answers) for each in play(monkeypatch, scene)] == [1, 0]
+    assert [len(exchange.responses) for exchange in run_scenario(monkeypatch, scenario)] == [1, 0]
 
 
-def test_more_than_may_wait_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_over_the_limit_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(earlyrequests, "MAX_HELD", 1)
 
-    async def scene(early: EarlyRequests, asked: list[Asked]) -> None:
-        assert [len(each.answers) for each in asked] == [0, 1]
+    async def scenario(early: EarlyRequests, exchanges: list[FakeExchange]) -> None:
+        assert [len(exchange.responses) for exchange in exchanges] == [0, 1]
 
-    play(monkeypatch, scene)
+    run_scenario(monkeypatch, scenario)
--- a/testing/node/aio/test_entryvalidation.py
+++ b/testing/node/aio/test_entryvalidation.py
@@ -1,4 +1,4 @@
-"""Names and addresses of entries that others tell of."""
+"""Tests for the validation of entries' names and addresses."""
 
 import pytest
 from hypothesis import given, settings
@@ -9,7 +9,7 @@
 from paddleshunt_node.aio.sockets import AddressError, split_address
 
 GOOD = EntryAddress("e1", "10.0.0.1:7720")
-ODD = [
+INVALID = [
     "",
     "10.0.0.1",
     ":7720",
@@ -28,9 +28,9 @@
 ]
 
 
-@pytest.mark.parametrize("address", ODD)
-def test_a_text_that_is_no_address_is_told_apart(address: str) -> None:
-    with pytest.raises(AddressError, match=r"no (host|port) in"):
+@pytest.mark.parametrize("address", INVALID)
+def test_invalid_address_is_rejected(address: str) -> None:
+    with pytest.raises(AddressError, match=r"no valid (host|port) in"):
         split_address(address)
 
 
@@ -42,28 +42,28 @@
         ("::1:7720", ("::1", 7720)),
     ],
 )
-def test_addresses_are_split(address: str, parts: tuple[str, int]) -> None:
+def test_split_address(address: str, parts: tuple[str, int]) -> None:
     assert split_address(address) == parts
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid",
     [
-        *(EntryAddress("e2", address) for address in ODD),
+        *(EntryAddress("e2", address) for address in INVALID),
         EntryAddress("", "10.0.0.2:1"),
         EntryAddress("e" * 5000, "10.0.0.2:1"),
         EntryAddress("e2", "10.0.0.2:1", "l" * 5000),
     ],
 )
-def test_an_odd_entry_hides_no_other(odd: EntryAddress) -> None:
+def test_invalid_entry_is_refused_and_the_others_are_kept(invalid: EntryAddress) -> None:
     refused: list[Refusal] = []
-    assert valid_entries([GOOD, odd, GOOD], "e9", refused.append) == [GOOD, GOOD]
+    assert valid_entries([GOOD, invalid, GOOD], "e9", refused.append) == [GOOD, GOOD]
     assert [(one.word, one.sender) for one in refused] == [(Word.ADDRESS, "e9")]
 
 
 @settings(max_examples=200, derandomize=True, database=None, deadline=None)
 @given(st.text(max_size=30))
-def test_whatever_is_told_is_an_address_or_refused(text: str) -> None:
+def test_any_text_is_split_or_rejected(text: str) -> None:
     for address in (text, f"{text}:7720", f"10.0.0.1:{text}"):
         try:
             host, port = split_address(address)
--- a/testing/node/aio/test_httptext.py
+++ b/testing/node/aio/test_httptext.py
@@ -1,10 +1,10 @@
-"""Heads of HTTP messages."""
+"""Tests for the formatting of HTTP message heads."""
 
 import pytest
 from paddleshunt_node.aio.httptext import HeaderError, request_head, response_head
 
 
-def test_heads_are_written() -> None:
+def test_heads_are_formatted() -> None:
     assert request_head("GET", "/a?b=c", [("Host", "h:1")]) == (
         b"GET /a?b=c HTTP/1.1\r\nHost: h:1\r\n\r\n"
     )
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize(
     ("target", "headers"),
     [("/a b", []), ("/\r\n", []), ("/", [("X", "a\r\nY: b")]), ("/", [("X:", "a")])],
-    ids=["blank", "line-end", "value", "name"],
+    ids=["space-in-target", "line-end-in-target", "line-end-in-value", "colon-in-name"],
 )
-def test_what_would_break_a_head_is_refused(target: str, headers: list[tuple[str, str]]) -> None:
+def test_invalid_characters_are_rejected(target: str, headers: list[tuple[str, str]]) -> None:
     with pytest.raises(HeaderError):
         request_head("GET", target, headers)
--- a/testing/node/aio/test_loop.py
+++ b/testing/node/aio/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop asks the kernel in every other round, and nothing that has come is passed over."""
+"""Tests that the event loop skips every other poll, and misses no I/O."""
 
 import asyncio
 import selectors
@@ -11,50 +11,50 @@
 
 @pytest.fixture
 def loop() -> Iterator[asyncio.AbstractEventLoop]:
-    made = new_loop()
-    yield made
-    made.close()
+    event_loop = new_loop()
+    yield event_loop
+    event_loop.close()
 
 
 @pytest.fixture
-def asked(monkeypatch: pytest.MonkeyPatch) -> list[float | None]:
-    """Time-outs with which the kernel was asked."""
-    seen: list[float | None] = []
+def polls(monkeypatch: pytest.MonkeyPatch) -> list[float | None]:
+    """Time-outs of the polls."""
+    timeouts: list[float | None] = []
     select = selectors.DefaultSelector.select
 
-    def noting(self: selectors.DefaultSelector, timeout: float | None = None) -> object:
-        seen.append(timeout)
+    def recording_select(self: selectors.DefaultSelector, timeout: float | None = None) -> object:
+        timeouts.append(timeout)
         return select(self, timeout)
 
-    monkeypatch.setattr(selectors.DefaultSelector, "select", noting)
-    return seen
+    monkeypatch.setattr(selectors.DefaultSelector, "select", recording_select)
+    return timeouts
 
 
-def test_rounds_that_need_not_wait_ask_by_turns(
-    loop: asyncio.AbstractEventLoop, asked: list[float | None]
+def test_every_other_non_blocking_poll_is_skipped(
+    loop: asyncio.AbstractEventLoop, polls: list[float | None]
 ) -> None:
-    async def twenty_rounds() -> None:
+    async def twenty_iterations() -> None:
         for _ in range(20):
             await asyncio.sleep(0)
 
-    loop.run_until_complete(twenty_rounds())
-    assert 9 <= len(asked) <= 12
+    loop.run_until_complete(twenty_iterations())
+    assert 9 <= len(polls) <= 12
 
 
-def test_a_loop_with_much_to_do_still_reads(loop: asyncio.AbstractEventLoop) -> None:
+def test_busy_loop_still_reads(loop: asyncio.AbstractEventLoop) -> None:
     async def read_while_busy() -> bytes:
-        here, there = socket.socketpair()
-        there.setblocking(False)
-        here.sendall(b"word")
-        reading = asyncio.ensure_future(loop.sock_recv(there, 10))
+        local, remote = socket.socketpair()
+        remote.setblocking(False)
+        local.sendall(b"data")
+        reading = asyncio.ensure_future(loop.sock_recv(remote, 10))
         for _ in range(4):
             await asyncio.sleep(0)
         assert reading.done()
-        here.close()
-        there.close()
+        local.close()
+        remote.close()
         return reading.result()
 
-    assert loop.run_until_complete(read_while_busy()) == b"word"
+    assert loop.run_until_complete(read_while_busy()) == b"data"
 
 
 class _Peer(asyncio.Protocol):
@@ -65,23 +65,23 @@
         self.ended = True
 
 
-@pytest.mark.parametrize("before", [0, 1, 2, 3], ids=lambda rounds: f"{rounds}-rounds-before")
+@pytest.mark.parametrize("before", [0, 1, 2, 3], ids=lambda count: f"{count}-iterations-before")
 @pytest.mark.parametrize("ended_by_timer", [False, True], ids=["callback", "timer"])
-@pytest.mark.parametrize("last_word", [b"", b"word"], ids=["silently", "after-a-word"])
-def test_an_ended_connection_is_known_first(
-    loop: asyncio.AbstractEventLoop, before: int, ended_by_timer: bool, last_word: bytes
+@pytest.mark.parametrize("last_data", [b"", b"data"], ids=["without-data", "after-data"])
+def test_disconnect_is_handled_before_the_callback(
+    loop: asyncio.AbstractEventLoop, before: int, ended_by_timer: bool, last_data: bytes
 ) -> None:
     async def ended_when_called() -> bool:
-        here, there = socket.socketpair()
-        there.setblocking(False)
-        _, peer = await loop.create_connection(_Peer, sock=there)
+        local, remote = socket.socketpair()
+        remote.setblocking(False)
+        _, peer = await loop.create_connection(_Peer, sock=remote)
         for _ in range(before):
             await asyncio.sleep(0)
         called: asyncio.Future[bool] = loop.create_future()
 
         def end() -> None:
-            here.sendall(last_word)
-            here.close()
+            local.sendall(last_data)
+            local.close()
             call_after_pending_io(loop, lambda: called.set_result(peer.ended))
 
         if ended_by_timer:
--- a/testing/node/aio/test_metrics.py
+++ b/testing/node/aio/test_metrics.py
@@ -1,9 +1,9 @@
-"""Figures of a process: all that was noted is on the page, whenever it is asked for."""
+"""Tests for the metrics of a process and their page."""
 
 import subprocess
 import sys
 
-from paddleshunt_node.aio.metrics import STAGES_KEPT, Metrics
+from paddleshunt_node.aio.metrics import MAX_STAGES, Metrics
 
 
 def test_a_page_shows_counters_gauges_and_stages() -> None:
@@ -22,7 +22,7 @@
     assert "paddleshunt_runs 3.0" in page
 
 
-def test_a_later_page_goes_on_counting() -> None:
+def test_counts_accumulate_over_pages() -> None:
     metrics = Metrics()
     metrics.gauge("paddleshunt_runs", "Runs at work.", lambda: 3.0)
     for seconds in (0.01, 0.5):
@@ -33,16 +33,16 @@
     assert 'paddleshunt_events_total{event="started"} 2' in page
 
 
-def test_times_are_handed_over_before_they_fill_the_memory() -> None:
+def test_number_of_recorded_stage_times_is_limited() -> None:
     metrics = Metrics()
-    for _ in range(2 * STAGES_KEPT + 1):
+    for _ in range(2 * MAX_STAGES + 1):
         metrics.stage("ordered", 0.01)
     assert len(metrics._stages) == 1
     page = metrics.page().decode()
-    assert f'paddleshunt_stage_seconds_count{{stage="ordered"}} {2 * STAGES_KEPT + 1}' in page
+    assert f'paddleshunt_stage_seconds_count{{stage="ordered"}} {2 * MAX_STAGES + 1}' in page
 
 
-def test_noting_does_not_import_the_library() -> None:
+def test_recording_does_not_import_the_library() -> None:
     program = (
         "import sys; from paddleshunt_node.aio.metrics import Metrics; m = Metrics();"
         "m.event('started'); m.stage('ordered', 0.1); print('aioprometheus' in sys.modules)"
