--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -24,6 +24,7 @@
 from paddleshunt_core.leased.worker import Worker
 
 from paddleshunt_node.aio import clock
+from paddleshunt_node.aio.claims import UnconfirmedStatuses
 from paddleshunt_node.aio.dialer import Dialer
 from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
@@ -39,7 +40,6 @@
     Superseded,
 )
 from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
-from paddleshunt_node.aio.unconfirmed import UnconfirmedStatuses
 
 POLL_RETRY_SECONDS = 0.08
 """Seconds before the next poll after one without an answer, or with one that is partly invalid."""
--- a/testing/node/aio/test_loop.py
+++ b/testing/node/aio/test_loop.py
@@ -45,7 +45,7 @@
     async def read_while_busy() -> bytes:
         local, remote = socket.socketpair()
         remote.setblocking(False)
-        local.sendall(b"data")
+        local.sendall(b"word")
         reading = asyncio.ensure_future(loop.sock_recv(remote, 10))
         for _ in range(4):
             await asyncio.sleep(0)
@@ -54,7 +54,7 @@
         remote.close()
         return reading.result()
 
-    assert loop.run_until_complete(read_while_busy()) == b"data"
+    assert loop.run_until_complete(read_while_busy()) == b"word"
 
 
 class _Peer(asyncio.Protocol):
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("before", [0, 1, 2, 3], ids=lambda count: f"{count}-iterations-before")
 @pytest.mark.parametrize("ended_by_timer", [False, True], ids=["callback", "timer"])
-@pytest.mark.parametrize("last_data", [b"", b"data"], ids=["without-data", "after-data"])
+@pytest.mark.parametrize("last_data", [b"", b"word"], ids=["without-data", "after-data"])
 def test_disconnect_is_handled_before_the_callback(
     loop: asyncio.AbstractEventLoop, before: int, ended_by_timer: bool, last_data: bytes
 ) -> None:
