--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -54,11 +54,11 @@
         return confined or not self._placement.awaits_kind(now, job, room)
 
     def _place_job(self, now: float, job: JobRecord, targets: list[TargetRecord]) -> list[Log]:
-        able = self._placement.able(job, targets)
+        eligible = self._placement.eligible(job, targets)
         chosen: dict[str, list[TaskRecord]] = {}
-        by_name = {target.name: target for target in able}
-        for task in job.waiting() if able else ():
-            target = self._placement.choose(now, job, task, able)
+        by_name = {target.name: target for target in eligible}
+        for task in job.waiting() if eligible else ():
+            target = self._placement.choose(now, job, task, eligible)
             if target is None:
                 break
             task.number += 1
@@ -101,5 +101,5 @@
         target=target.name,
         indexes=",".join(str(task.id.index) for task in tasks),
         load=round(target.load, 2),
-        report_age_ms=round((now - target.reported) * 1000),
+        report_age_ms=round((now - target.reported_at) * 1000),
     )
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -17,13 +17,11 @@
     refusal,
     room_note,
 )
-from paddleshunt_core.leased.answers import Answers
 from paddleshunt_core.leased.assigner import Assigner
 from paddleshunt_core.leased.bounds import COLD_OVERRUN, HALL_PREFERENCE, LeaseTimes
 from paddleshunt_core.leased.catalog import Queue
 from paddleshunt_core.leased.containment import Containment
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations, evacuation_note
-from paddleshunt_core.leased.jobbook import JobBook
 from paddleshunt_core.leased.jobs import (
     STALE_STEP,
     JobRecord,
@@ -32,24 +30,26 @@
     TaskRecord,
     new_job,
 )
+from paddleshunt_core.leased.jobtable import JobTable
 from paddleshunt_core.leased.lessons import Lessons
+from paddleshunt_core.leased.livenesschecks import LivenessChecks
 from paddleshunt_core.leased.outcomes import (
     AnswerJob,
+    BroadcastLoss,
     Completed,
     Failed,
     GivenUp,
-    HandOn,
     JobOutcome,
     Refused,
 )
 from paddleshunt_core.leased.placement import Placement
+from paddleshunt_core.leased.resourcerequests import Wants
 from paddleshunt_core.leased.retries import Retries
 from paddleshunt_core.leased.room import RoomNow
 from paddleshunt_core.leased.session import Session, good_echo_age
 from paddleshunt_core.leased.speeds import Speeds, kind_note
 from paddleshunt_core.leased.standstill import THAW_SECONDS, StandStill
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wants import Wants
 from paddleshunt_core.leased.wire import (
     Body,
     End,
@@ -89,7 +89,7 @@
 """Ends of runs that never began."""
 
 
-Effect = AnswerJob | HandOn | Log
+Effect = AnswerJob | BroadcastLoss | Log
 
 
 @final
@@ -115,11 +115,11 @@
         )
         self._containment = Containment(times.hold)
         self._assigner = Assigner(self._placement, self._containment, self._speeds)
-        self._jobs = JobBook()
+        self._jobs = JobTable()
         self._targets: dict[str, TargetRecord] = {}
         self._lessons = Lessons(self._placement, self._speeds)
         self._wants = Wants()
-        self._answers = Answers(times, self._jobs)
+        self._answers = LivenessChecks(times, self._jobs)
         self._evacuations = Evacuations()
         self._unplaced = False
         """Whether something was heard that may let a task be placed."""
@@ -129,7 +129,7 @@
         self._pauses = StandStill(times.session)
         self._ends: float | None = None
         """When this process ends, if it is leaving."""
-        self.turned_away: Refused | None = None
+        self.new_job_refusal: Refused | None = None
         """What new jobs are told while this host's link is pressed; None to take them."""
 
     @property
@@ -138,8 +138,8 @@
         return len(self._jobs)
 
     @property
-    def awaits_callers(self) -> bool:
-        """Whether `place_arrived` is due for a job, now or soon."""
+    def has_new_jobs(self) -> bool:
+        """Whether `place_new_jobs` is due for a job, now or soon."""
         return any(not job.is_awaited for job in self._jobs.all())
 
     @property
@@ -182,8 +182,8 @@
         held = self._jobs.of_key(request.key)
         if held is not None:
             return [*effects, self._hand_over(now, caller, held)]
-        if self.turned_away is not None:
-            return [*effects, self._refuse(caller, request, self.turned_away)]
+        if self.new_job_refusal is not None:
+            return [*effects, self._refuse(caller, request, self.new_job_refusal)]
         expected = self._lessons.expect(queue, request)
         job = new_job(caller, request, queue, now, expected)
         job.place_from = now + self._caller_delay
@@ -248,7 +248,7 @@
         """What is known of evacuated halls."""
         return self._evacuations
 
-    def told_evacuations(self, now: float, told: EvacuatedHalls, source: str) -> list[Effect]:
+    def handle_evacuations(self, now: float, told: EvacuatedHalls, source: str) -> list[Effect]:
         """Follow a word of evacuated halls, and tell the targets; an older one changes nothing."""
         if not self._evacuations.learn(told):
             return []
@@ -263,7 +263,7 @@
         """Return what is remembered of lost runners, for an entry that was just met."""
         return self._retries.known_losses(now)
 
-    def told_loss(self, now: float, news: LossNews, source: str) -> list[Effect]:
+    def handle_loss_update(self, now: float, news: LossNews, source: str) -> list[Effect]:
         """Follow a word on a lost runner, and give up jobs that it decides.
 
         A target's own word is handed on to all entries; theirs is not, or each would tell all.
@@ -274,7 +274,7 @@
             return []
         effects: list[Effect] = [*logs, *confined]
         if source in self._targets:
-            effects.append(HandOn(news))
+            effects.append(BroadcastLoss(news))
         tasks = news.tasks if isinstance(news, RunnerLost) else []
         return [*effects, *self._check_jobs(now, {task.job for task in tasks})]
 
@@ -302,7 +302,7 @@
         """What is known of how slow the kinds of hosts are."""
         return self._speeds
 
-    def told_speeds(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
+    def handle_speed_update(self, now: float, news: SpeedNews, source: str) -> list[Effect]:
         """Take another entry's word on kinds of hosts that it knows much better."""
         taken = self._speeds.told(news)
         if taken:
@@ -311,7 +311,7 @@
 
     # Targets.
 
-    def greeted(self, now: float, hello: Hello) -> tuple[Session | None, list[Effect]]:
+    def handle_hello(self, now: float, hello: Hello) -> tuple[Session | None, list[Effect]]:
         """Take a target's greeting; return the session, or None if the one it names is over.
 
         A target names no session only if nothing of an earlier one is left with it.
@@ -341,7 +341,7 @@
         target = self._targets.get(name)
         return target.session if target else None
 
-    def heard(self, now: float, name: str, frame: Frame) -> list[Effect]:
+    def handle_frame(self, now: float, name: str, frame: Frame) -> list[Effect]:
         """Take a frame of a target."""
         effects = self._notice_pause(now)
         target = self._targets.get(name)
@@ -354,7 +354,7 @@
         self._unplaced = self._unplaced or bool(bodies)
         return effects
 
-    def owes_answer(self, now: float, name: str, frame: Frame) -> bool:
+    def needs_immediate_reply(self, now: float, name: str, frame: Frame) -> bool:
         """Whether a target's frame is to be answered at once, which renews its lease.
 
         Not if it has just been renewed; a frame that carried no later echo renewed nothing, as the
@@ -368,17 +368,17 @@
         pause = self._times.idle_reply if calm else self._times.reply_pause
         return now > target.session.renewed_ms / 1000 + pause
 
-    def answer_due(self) -> float | None:
-        """Return when `check_answers` is due, if a target is to confirm that it lives."""
+    def next_confirmation_deadline(self) -> float | None:
+        """Return when `check_confirmations` is due, if a target is to confirm that it lives."""
         return self._answers.due()
 
-    def check_answers(self, now: float) -> list[Effect]:
+    def check_confirmations(self, now: float) -> list[Effect]:
         """Place elsewhere what targets were given that do not answer; it has never begun."""
         effects = self._notice_pause(now)
         logs = self._answers.check(now)
         return [*effects, *logs, *self._place(now)] if logs else effects
 
-    def place_arrived(self, now: float) -> list[Effect]:
+    def place_new_jobs(self, now: float) -> list[Effect]:
         """Place jobs whose callers have had the time to say that they left.
 
         Nothing else places them first: call it once the ends of connections that had come are
@@ -438,12 +438,12 @@
         last_start = self._last_start(now, job)
         if self._ends is not None:
             last_start = min(last_start, self._ends - job.length)
-        if not job.begun and now > last_start:
+        if not job.may_have_started and now > last_start:
             room = self._room(now)
             wait = self._wait(job, room)
             why = room_note(now, job, wait, room)
             return [why, self._give_up(now, job, "no_room", max(RETRY_SECONDS, wait))]
-        if not job.begun and confined_room is not None:
+        if not job.may_have_started and confined_room is not None:
             confined = self._containment.refuses(job, confined_room)
             if confined is not None:
                 return [self._give_up(now, job, "confined", max(RETRY_SECONDS, confined))]
@@ -458,7 +458,7 @@
 
     def _give_up(self, now: float, job: JobRecord, reason: str, retry_after: float) -> AnswerJob:
         """Answer a job that can't be of use; the answer says truly whether it has run."""
-        ran = job.begun or job.may_have_run
+        ran = job.may_have_started or job.may_have_run
         outcome = GivenUp(reason) if ran else Refused(reason, retry_after)
         return self._answer(now, job, outcome)
 
@@ -530,7 +530,7 @@
             lost = list(target.held)
             target.held.clear()
             return self._run_again(now, lost, target.name, "lease_lapsed")
-        if now > target.heard + FORGET_SECONDS:
+        if now > target.last_received + FORGET_SECONDS:
             del self._targets[target.name]
         return []
 
@@ -550,7 +550,7 @@
         self._jobs.hold(target.held, target.name)
         fields: dict[str, str | int | float] = {
             "target": target.name,
-            "silent_ms": round((now - target.heard) * 1000),
+            "silent_ms": round((now - target.last_received) * 1000),
             "held": len(target.held),
         }
         return [note("session_ended", **fields)]
@@ -564,9 +564,9 @@
                 self._wants.reported(target)
                 self._check_evacuation(target, body)
             case EvacuationNews():
-                return self.told_evacuations(now, body.evacuated, target.name)
+                return self.handle_evacuations(now, body.evacuated, target.name)
             case RunnerLost() | RunnerReturned() | RunnerSilent():
-                return self.told_loss(now, body, target.name)
+                return self.handle_loss_update(now, body, target.name)
             case Ended():
                 effects: list[Effect] = []
                 for run, end in body.ends:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -13,10 +13,10 @@
 from paddleshunt_core.leased.ranks import rank
 from paddleshunt_core.leased.wire import EntryAddress
 
-SESSIONS = 8
+MAX_SESSIONS = 8
 """Entries that a target holds a session with, if there are as many."""
 
-OTHER_HALLS = 2
+RESERVED_SESSIONS = 2
 """Sessions of these that are for entries of other data halls, if there are any."""
 
 SUSPECT_SECONDS = 2.0
@@ -30,7 +30,7 @@
 class EntryChoice:
     """What one target knows of the entries, and which of them it wants."""
 
-    def __init__(self, target: str, hall: str = "", sessions: int = SESSIONS) -> None:
+    def __init__(self, target: str, hall: str = "", sessions: int = MAX_SESSIONS) -> None:
         self._target = target
         self._hall = hall
         self._near: set[str] = set()
@@ -43,15 +43,15 @@
         self._suspected: dict[str, float] = {}
         self._lives: dict[str, deque[str]] = {}
 
-    def told(self, teller: str, entries: list[EntryAddress]) -> None:
+    def replace_known(self, teller: str, entries: list[EntryAddress]) -> None:
         """Take the entries that one entry knows to live; they replace what it said before.
 
         An entry that has started anew since it was suspected is not passed over any longer.
         """
         self._told[teller] = {}
-        self.changed(teller, entries, [])
+        self.update_known(teller, entries, [])
 
-    def changed(self, teller: str, joined: list[EntryAddress], gone: list[str]) -> None:
+    def update_known(self, teller: str, joined: list[EntryAddress], gone: list[str]) -> None:
         """Take which entries have joined or gone since one entry told all."""
         told = self._told.setdefault(teller, {})
         for name in gone:
@@ -91,7 +91,7 @@
         }
         return [usable[name] for name in self._first(list(usable))]
 
-    def kept(self, names: set[str]) -> set[str]:
+    def sessions_to_keep(self, names: set[str]) -> set[str]:
         """Return the entries to go on with among those that a session is open with."""
         return set(self._first(sorted(names, key=self._rank_of)))
 
@@ -99,11 +99,11 @@
         """Return the names to hold sessions with, of the own hall first, but not of it alone."""
         near = [name for name in ranked if name in self._near]
         far = [name for name in ranked if name not in self._near]
-        reach = min(OTHER_HALLS, len(far)) if near else 0
+        reach = min(RESERVED_SESSIONS, len(far)) if near else 0
         own = near[: self._sessions - reach]
         return [*own, *far[: self._sessions - len(own)]]
 
-    def knows(self) -> bool:
+    def has_entries(self) -> bool:
         """Whether any entry has told of the others."""
         return bool(self._told)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -16,7 +16,7 @@
 PRIORITY_SECONDS = 0.15
 """Head start in the order of starts that a queue has for each step of priority."""
 
-LATE_SECONDS = 60.0
+LATE_PENALTY_SECONDS = 60.0
 """By how much a job goes behind that has not begun and can't end in time any more."""
 
 ESTIMATE_ERROR = 0.25
@@ -25,7 +25,7 @@
 OVERHEAD_SECONDS = 0.02
 """Time of a run besides its work, the same on any host: messages, and the look at its end."""
 
-USEFUL_OBJECTIVES = 3.0
+USEFUL_OBJECTIVE_FACTOR = 3.0
 """How many times its objective a job may take and yet be of use, if less, to its caller.
 
 The users count an answer as late up to this, and as worth nothing beyond it.
@@ -124,7 +124,7 @@
         return self.arrived - self.expected.age
 
     @property
-    def begun(self) -> bool:
+    def may_have_started(self) -> bool:
         """Whether a task may have started."""
         return any(task.ran or task.phase is not TaskPhase.WAITING for task in self.tasks)
 
@@ -148,7 +148,7 @@
 
     def urgency(self, now: float) -> float:
         """Return its place in the order of starts at `now`; less goes first."""
-        late = LATE_SECONDS if self.start_by < now and not self.begun else 0.0
+        late = LATE_PENALTY_SECONDS if self.start_by < now and not self.may_have_started else 0.0
         return self.start_by + PRIORITY_SECONDS * self.queue.priority + late
 
     @property
@@ -165,7 +165,7 @@
     @property
     def useful_end(self) -> float:
         """When its answer must come to be of any use."""
-        return min(self.first_sent + USEFUL_OBJECTIVES * self.objective, self.expires)
+        return min(self.first_sent + USEFUL_OBJECTIVE_FACTOR * self.objective, self.expires)
 
     @property
     def expires(self) -> float:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/answers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
@@ -11,26 +11,26 @@
 
 from paddleshunt_core.events import Log, note
 from paddleshunt_core.leased.bounds import LeaseTimes
-from paddleshunt_core.leased.jobbook import JobBook
 from paddleshunt_core.leased.jobs import TaskPhase, TaskRecord
+from paddleshunt_core.leased.jobtable import JobTable
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import RunId, Stop
 
-ANSWER_SECONDS = 0.03
+CONFIRMATION_SECONDS = 0.03
 """Seconds for which an idle target's first answer is awaited, beside twice what the last took.
 
 A round trip takes 1 to 3 ms; a target that is merely late loses nothing but this work.
 """
 
-MAX_ANSWER_SECONDS = 0.1
+MAX_CONFIRMATION_SECONDS = 0.1
 """Longest wait for such an answer, however long the last one took."""
 
 
 @final
-class Answers:
+class LivenessChecks:
     """The targets of one entry that are to confirm that they live."""
 
-    def __init__(self, times: LeaseTimes, jobs: JobBook) -> None:
+    def __init__(self, times: LeaseTimes, jobs: JobTable) -> None:
         self._times = times
         self._jobs = jobs
         self._asked: list[TargetRecord] = []
@@ -38,7 +38,7 @@
     def ask(self, now: float, assigned: Iterable[TargetRecord]) -> None:
         """Expect an answer of those targets, just assigned something, whose lease was over."""
         for target in assigned:
-            if target.asked is None and not target.may_begin(self._times, now):
+            if target.asked is None and not target.may_have_started(self._times, now):
                 target.asked = now
                 self._asked.append(target)
 
@@ -80,7 +80,7 @@
         task = self._jobs.task(run, target.name)
         if task is None or task.phase is not TaskPhase.PLACED:
             return None
-        return None if target.may_begin(self._times, task.placed_at) else task
+        return None if target.may_have_started(self._times, task.placed_at) else task
 
 
 def _returned(target: TargetRecord, run: RunId, task: TaskRecord) -> Log:
@@ -95,4 +95,4 @@
 
 
 def _overdue(asked: float, target: TargetRecord) -> float:
-    return asked + min(MAX_ANSWER_SECONDS, ANSWER_SECONDS + 2 * target.answered_in)
+    return asked + min(MAX_CONFIRMATION_SECONDS, CONFIRMATION_SECONDS + 2 * target.answered_in)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -30,11 +30,11 @@
     life: str
     session: Session | None = None
     connected: bool = False
-    heard: float = 0.0
+    last_received: float = 0.0
     lost_at: float = 0.0
     """When nothing of an ended session can run there any more."""
     report: RunnerReport | None = None
-    reported: float = 0.0
+    reported_at: float = 0.0
     unseen: deque[tuple[int, Resources]] = field(default_factory=deque)
     """Needs of assignments that the last report doesn't cover, by their number."""
     on_way: Resources = NOTHING
@@ -74,7 +74,7 @@
         cold_until = now + report.cold_ms / 1000
         self.cold_until = cold_until if report.cold_ms else min(self.cold_until, now)
         self.report = report
-        self.reported = now
+        self.reported_at = now
 
     def reset(self) -> None:
         """Forget what a session that has ended told, and what it was sent."""
@@ -104,13 +104,13 @@
         """How many times as long as expected its runner's tasks take."""
         return self.kind_factor * self.deviation
 
-    def took(self, ratio: float, weight: float = 1.0) -> None:
+    def observe_duration_ratio(self, ratio: float, weight: float = 1.0) -> None:
         """Note that a task took `ratio` times as long as was expected of this runner."""
         least, most = DEVIATION_LIMITS
         shown = min(most, max(least, ratio * self.deviation))
         self.deviation += DEVIATION_STEP * weight * (shown - self.deviation)
 
-    def faded(self, seconds: float) -> None:
+    def decay_deviation(self, seconds: float) -> None:
         """Let the deviation fade by the passing of so many seconds."""
         self.deviation += (1.0 - self.deviation) * min(1.0, seconds / DEVIATION_SECONDS)
 
@@ -122,7 +122,7 @@
 
     def spoke(self, now: float) -> None:
         """Note that it said something."""
-        self.heard = now
+        self.last_received = now
         self.unanswered = False
         if self.asked is not None:
             self.answered_in = now - self.asked
@@ -134,16 +134,16 @@
             return False
         if self.asked is not None:
             return True
-        silence = now - max(self.heard, self.held_since)
+        silence = now - max(self.last_received, self.held_since)
         return silence <= (times.fresh if self.placed else times.idle_fresh)
 
     def is_silent(self, now: float, times: LeaseTimes) -> bool:
         """Whether it has said nothing for so long that its session is over."""
         if self.placed:
-            return now >= max(self.heard, self.held_since) + times.session
-        return now >= self.heard + times.idle_session
+            return now >= max(self.last_received, self.held_since) + times.session
+        return now >= self.last_received + times.idle_session
 
-    def may_begin(self, times: LeaseTimes, placed_at: float) -> bool:
+    def may_have_started(self, times: LeaseTimes, placed_at: float) -> bool:
         """Whether what was placed there at a time may have been started.
 
         If the lease was over when it was placed, it starts only by an echo that is sent later.
@@ -152,7 +152,7 @@
             return True
         return placed_at <= self.session.renewed_ms / 1000 + times.lapse
 
-    def takes(self, now: float, service: str, times: LeaseTimes) -> bool:
+    def can_accept(self, now: float, service: str, times: LeaseTimes) -> bool:
         """Whether tasks of `service` may be sent there."""
         report = self.report
         return (
@@ -169,7 +169,7 @@
         """Return a summary for a dump."""
         return {
             "session": self.session.number if self.session else 0,
-            "silent_s": round(now - self.heard, 2),
+            "silent_s": round(now - self.last_received, 2),
             "report": self.report,
             "placed": len(self.placed),
             "held": len(self.held),
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.dispatcher import Dispatcher, Effect
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.linkpressure import PressureLevel
-from paddleshunt_core.leased.outcomes import AnswerJob, Completed, HandOn, Refused
+from paddleshunt_core.leased.outcomes import AnswerJob, BroadcastLoss, Completed, Refused
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.speeds import Speeds
@@ -221,7 +221,7 @@
             return False
         if self._turns_away(self._now()):
             return False
-        if self._targetless.sends_elsewhere(self._now()):
+        if self._targetless.should_be_unready(self._now()):
             return False
         return bool(self._links) or self._now() > self._started_at + READY_WITHOUT_TARGETS_SECONDS
 
@@ -252,7 +252,7 @@
     def _place_soon(self) -> None:
         """Place newly arrived jobs, once pending disconnects of callers are handled."""
         call_after_pending_io(
-            self._loop, lambda: self._act(self._dispatcher.place_arrived(self._now()))
+            self._loop, lambda: self._act(self._dispatcher.place_new_jobs(self._now()))
         )
 
     def abandoned(self, exchange: Exchange) -> None:
@@ -266,7 +266,7 @@
             if isinstance(effect, Log):
                 self._context.log(effect)
                 self._context.metrics.event(effect.event)
-            elif isinstance(effect, HandOn):
+            elif isinstance(effect, BroadcastLoss):
                 self._peers.broadcast_loss(effect.news)
             else:
                 self._answer(effect)
@@ -304,7 +304,7 @@
             )
             link.send(self._hello(0, 0))
             return
-        session, effects = self._dispatcher.greeted(now, hello)
+        session, effects = self._dispatcher.handle_hello(now, hello)
         self._act(effects)
         if session is None:
             link.send(self._hello(0, 0))
@@ -321,8 +321,8 @@
         """Process a frame of a target, or of another entry."""
         if self._links.get(link.peer) is link:
             now = self._now()
-            self._act(self._dispatcher.heard(now, link.peer, frame))
-            if self._dispatcher.owes_answer(now, link.peer, frame):
+            self._act(self._dispatcher.handle_frame(now, link.peer, frame))
+            if self._dispatcher.needs_immediate_reply(now, link.peer, frame):
                 self._frame_due.add(link.peer)
         else:
             self._peers.frame_received(link, frame)
@@ -363,7 +363,7 @@
 
     def receive_loss(self, news: LossNews, source: str) -> None:
         """Process another entry's report on a lost runner."""
-        self._act(self._dispatcher.told_loss(self._now(), news, source))
+        self._act(self._dispatcher.handle_loss_update(self._now(), news, source))
 
     @property
     def speeds(self) -> Speeds:
@@ -372,7 +372,7 @@
 
     def receive_speeds(self, news: SpeedNews, source: str) -> None:
         """Process another entry's measurements of kinds of hosts."""
-        self._act(self._dispatcher.told_speeds(self._now(), news, source))
+        self._act(self._dispatcher.handle_speed_update(self._now(), news, source))
 
     def target_count(self) -> int:
         """Return the number of connected targets."""
@@ -380,7 +380,7 @@
 
     def receive_target_count(self, targets: int, source: str) -> None:
         """Record how many targets another entry is connected to."""
-        self._targetless.told(self._now(), source, targets)
+        self._targetless.record_peer_count(self._now(), source, targets)
 
     @property
     def evacuations(self) -> Evacuations:
@@ -390,7 +390,7 @@
     def apply_evacuations(self, evacuated: EvacuatedHalls, source: str) -> None:
         """Apply a list of evacuated halls if it is newer, and broadcast what has changed."""
         before = self.evacuations.known
-        self._act(self._dispatcher.told_evacuations(self._now(), evacuated, source))
+        self._act(self._dispatcher.handle_evacuations(self._now(), evacuated, source))
         if set(self.evacuations.known.halls) != set(before.halls):
             self._peers.broadcast_evacuations(self.evacuations.known)
 
@@ -450,17 +450,17 @@
         noticed = now >= self._unready_since + BALANCER_DELAY_SECONDS
         self._callers.closing = self._leaving or noticed
         refused = Refused("link_pressed", OVERLOAD_RETRY_SECONDS)
-        self._dispatcher.turned_away = refused if pressed else None
+        self._dispatcher.new_job_refusal = refused if pressed else None
 
     async def _tick_forever(self) -> None:
         due = self._now()
         while True:
             self._meter.sample_when_due(self._now())
             self._apply_link_pressure()
-            self._targetless.count(self._now(), len(self._links))
+            self._targetless.record_own_count(self._now(), len(self._links))
             self._act(self._dispatcher.tick(self._now()))
             self._flush()
-            if self._dispatcher.awaits_callers:
+            if self._dispatcher.has_new_jobs:
                 self._place_soon()
             self._close_silent()
             now = self._now()
@@ -492,7 +492,7 @@
 
     def _schedule_answer_check(self) -> None:
         """Set the timer that checks idle targets for overdue answers."""
-        due = self._dispatcher.answer_due()
+        due = self._dispatcher.next_confirmation_deadline()
         if due is not None and self._answers_timer is None:
             due_in = due - self._now() + TIMER_MARGIN
             self._answers_timer = self._loop.call_later(due_in, self._check_answers_soon)
@@ -503,7 +503,7 @@
 
     def _check_answers(self) -> None:
         self._answers_timer = None
-        self._act(self._dispatcher.check_answers(self._now()))
+        self._act(self._dispatcher.check_confirmations(self._now()))
 
     def _send(self, link: PeerLink, session: Session) -> None:
         now = self._now()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -381,11 +381,11 @@
         for body in frame.bodies:
             if isinstance(body, Entries):
                 entries = valid_entries(body.entries, link.peer, self._context.refuse)
-                self._choice.told(link.peer, entries)
+                self._choice.replace_known(link.peer, entries)
                 self._dial_entries(now, entries)
             elif isinstance(body, EntryChanges):
                 joined = valid_entries(body.joined, link.peer, self._context.refuse)
-                self._choice.changed(link.peer, joined, body.gone)
+                self._choice.update_known(link.peer, joined, body.gone)
                 self._dial_entries(now, joined)
         self._act(self._worker.heard(now, link.peer, frame))
         if self._worker.session(link.peer) is None:
@@ -414,7 +414,7 @@
         if not self._links:
             return True
         if not name:
-            return not self._choice.knows()
+            return not self._choice.has_entries()
         return any(entry.name == name for entry in self._wanted_entries())
 
     def _dial_failed(self, address: str) -> None:
@@ -431,7 +431,7 @@
         An idle session without a connection doesn't count as open: its entry may have exited.
         """
         open_now = self._worker.session_names() & self._links.keys() | self._worker.held_names()
-        self._act(self._worker.retire(now, self._choice.kept(open_now)))
+        self._act(self._worker.retire(now, self._choice.sessions_to_keep(open_now)))
 
     def _may_open_session(self, name: str) -> bool:
         return self._worker.session(name) is not None or self._worker.may_open(name)
@@ -452,7 +452,7 @@
         except StoreUnavailableError as problem:
             self._context.event("store_unavailable", reason=str(problem))
             return
-        self._choice.told(STORE, entries)
+        self._choice.replace_known(STORE, entries)
         self._names_by_address.update({entry.address: entry.name for entry in entries})
         now = self._now()
         for entry in self._wanted_entries():
--- a/testing/core/leased/test_wants.py
+++ b/testing/core/leased/test_resourcerequests.py
@@ -3,11 +3,11 @@
 import msgspec
 import pytest
 from paddleshunt_core.leased.catalog import Queue
-from paddleshunt_core.leased.jobs import LATE_SECONDS, JobRecord, JobRequest, new_job
+from paddleshunt_core.leased.jobs import LATE_PENALTY_SECONDS, JobRecord, JobRequest, new_job
+from paddleshunt_core.leased.resourcerequests import PAUSE_SECONDS, REPEAT_SECONDS, Wants
 from paddleshunt_core.leased.resources import NOTHING, Resources
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.targets import TargetRecord
-from paddleshunt_core.leased.wants import PAUSE_SECONDS, REPEAT_SECONDS, Wants
 from paddleshunt_core.leased.wire import Decline, Health, RunnerReport, RunnerState, Want
 
 QUEUE = Queue("q", "host", "/q/", "svc", stretch=1.6, latency=0.06)
@@ -71,7 +71,7 @@
 def test_a_job_that_is_late_already_goes_behind_all_others() -> None:
     ours = target("t0")
     Wants().tell(9.0, {"svc": waiting(at=1.0)}, [ours], [])
-    assert told(ours) == [Want(NEED, round(1000 * (LATE_SECONDS + 0.36 - 8.0)))]
+    assert told(ours) == [Want(NEED, round(1000 * (LATE_PENALTY_SECONDS + 0.36 - 8.0)))]
 
 
 @pytest.mark.parametrize(("labels", "count"), [((), 0), (("big",), 1)], ids=["without", "with"])
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -23,7 +23,7 @@
     StopRun,
     Supersede,
 )
-from paddleshunt_core.leased.outcomes import Failed, HandOn, JobOutcome
+from paddleshunt_core.leased.outcomes import BroadcastLoss, Failed, JobOutcome
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerlife import RunnerLife
 from paddleshunt_core.leased.wire import Frame, Hello, SpeedNews, TaskId
@@ -319,11 +319,13 @@
         target, entry = pair
         dispatcher = self.dispatchers[entry]
         if isinstance(message, Frame):
-            self._act_entry(entry, dispatcher.heard(self.now, target, message))
+            self._act_entry(entry, dispatcher.handle_frame(self.now, target, message))
             self._act_entry(entry, dispatcher.place_waiting(self.now))
-            link.answers = link.answers or dispatcher.owes_answer(self.now, target, message)
+            link.answers = link.answers or dispatcher.needs_immediate_reply(
+                self.now, target, message
+            )
             return
-        session, effects = dispatcher.greeted(self.now, message)
+        session, effects = dispatcher.handle_hello(self.now, message)
         self._act_entry(entry, effects)
         number, received = (session.number, session.received) if session else (0, 0)
         life = str(self.entries[entry].life)
@@ -375,9 +377,9 @@
 
     def _step_entry(self, name: str) -> None:
         dispatcher = self.dispatchers[name]
-        due = dispatcher.answer_due()
+        due = dispatcher.next_confirmation_deadline()
         if due is not None and self.now >= due:
-            self._act_entry(name, dispatcher.check_answers(self.now))
+            self._act_entry(name, dispatcher.check_confirmations(self.now))
         self._act_entry(name, dispatcher.tick(self.now))
 
     def _step_target(self, name: str) -> None:
@@ -477,7 +479,7 @@
                 self.answered_at[effect.caller] = self.now
                 if isinstance(effect.outcome, Failed) and not self._has_failed(effect.key):
                     self.wrongly_failed.append(effect.key)
-            elif isinstance(effect, HandOn):
+            elif isinstance(effect, BroadcastLoss):
                 self._hand_on(name, effect)
             else:
                 self._note(effect)
@@ -487,11 +489,11 @@
         tasks = [TaskId(key, 0, index) for index in range(self._requests[key].count)]
         return any(self.crashes.failed[task] >= self._queues[key].max_attempts for task in tasks)
 
-    def _hand_on(self, name: str, effect: HandOn) -> None:
+    def _hand_on(self, name: str, effect: BroadcastLoss) -> None:
         for other, node in self.entries.items():
             if other != name and node.moves:
                 dispatcher = self.dispatchers[other]
-                self._act_entry(other, dispatcher.told_loss(self.now, effect.news, name))
+                self._act_entry(other, dispatcher.handle_loss_update(self.now, effect.news, name))
 
     def _tell_speeds(self) -> None:
         for name, node in self.entries.items():
@@ -503,7 +505,7 @@
     def _hear_speeds(self, name: str, news: SpeedNews | None, source: str) -> None:
         if news is not None:
             dispatcher = self.dispatchers[name]
-            self._act_entry(name, dispatcher.told_speeds(self.now, news, source))
+            self._act_entry(name, dispatcher.handle_speed_update(self.now, news, source))
 
     def _note(self, log: object) -> None:
         self.events.append((self.now, log.event, log.submission))  # type: ignore[attr-defined]
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -13,7 +13,7 @@
 from paddleshunt_core.leased.linkpressure import LinkSample, PressureLevel
 from paddleshunt_core.leased.outcomes import JobOutcome, Refused
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.targetless import GONE_SECONDS
+from paddleshunt_core.leased.targetless import UNREADY_AFTER_SECONDS
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_node.aio import entryservice, linkmeter
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
@@ -310,7 +310,7 @@
     @property
     def turns_away(self) -> bool:
         """Whether it refuses new jobs."""
-        return self.service._dispatcher.turned_away is not None
+        return self.service._dispatcher.new_job_refusal is not None
 
     async def ready(self) -> int:
         return (await self._ready.call("GET", "/ready", 1.0)).status
@@ -440,7 +440,7 @@
         await asyncio.sleep(0.2)
         assert await entry.ready() == 200
         links.clear()
-        await asyncio.sleep(GONE_SECONDS + 0.3)
+        await asyncio.sleep(UNREADY_AFTER_SECONDS + 0.3)
         assert await entry.ready() == status
 
     run_with_entries(monkeypatch, 1, scenario)
