--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
@@ -37,8 +37,8 @@
 
 def _kind_slowness(dispatcher: Dispatcher) -> list[tuple[dict[str, str], float]]:
     return [
-        ({"service": word.service, "kind": word.kind}, word.slowness_thousandths / 1000)
-        for word in dispatcher.speeds.all()
+        ({"service": speed.service, "kind": speed.kind}, speed.slowness_thousandths / 1000)
+        for speed in dispatcher.speeds.all()
     ]
 
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -107,20 +107,20 @@
 class EntryPeers:
     """Tracks the other entries, and exchanges gossip with them.
 
-    `greeting` is sent over each new connection; `silence` is its time-out in seconds.
+    `hello` is sent over each new connection; `silence` is its time-out in seconds.
     """
 
     def __init__(
         self,
         owner: PeerOwner,
         own: EntryAddress,
-        greeting: Hello,
+        hello: Hello,
         silence: float,
         link_mbps: float = LINK_MBPS,
     ) -> None:
         self._owner = owner
         self._own = own
-        self._greeting = greeting
+        self._hello = hello
         self._known: dict[str, tuple[EntryAddress, float]] = {}
         self._announced: dict[str, EntryAddress] = {own.name: own}
         """The entries last announced to targets, by name."""
@@ -299,7 +299,7 @@
 
     def connection_opened(self, link: PeerLink) -> None:
         """Send a dialled entry the hello and the whole known state."""
-        link.send(self._greeting)
+        link.send(self._hello)
         speeds = self._owner.speeds.known()
         known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
         version = CatalogVersion(self._owner.catalog.version)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -101,7 +101,7 @@
         self._codec = codec
         self._context = context
         self._times = lease_times(config.bounds)
-        self._life = os.urandom(6).hex()
+        self._incarnation = os.urandom(6).hex()
         bounds = config.bounds
         self._dispatcher = Dispatcher(
             self._times,
@@ -119,9 +119,9 @@
         self._links: dict[str, PeerLink] = {}
         self._frame_due: set[str] = set()
         """Names of targets that are due a frame even if no message is pending."""
-        own = EntryAddress(config.name, config.peers, self._life, config.hall)
-        greeting, silence = self._hello(0, 0), self._times.session
-        self._peers = EntryPeers(self, own, greeting, silence, config.link_mbps)
+        own = EntryAddress(config.name, config.peers, self._incarnation, config.hall)
+        hello, silence = self._hello(0, 0), self._times.session
+        self._peers = EntryPeers(self, own, hello, silence, config.link_mbps)
         self._peers.set_seeds(set(config.seeds))
         self._follower = StoreFollower(store, context, own, self)
         self._meter = LinkMeter(
@@ -153,7 +153,7 @@
             state["targets"] = "left out while the link is pressed"
         return {
             "name": self._config.name,
-            "life": self._life,
+            "life": self._incarnation,
             "catalog_version": self.catalog.version,
             "leaving": self._leaving,
             "entries": self._peers.names(),
@@ -177,7 +177,7 @@
             lambda: len(self._links),
         )
         self._meter.add_gauges()
-        self._context.event("started", role="entry", node=self._config.name, life=self._life)
+        self._context.event("started", role="entry", node=self._config.name, life=self._incarnation)
         self._context.spawn(self._peers.dial_forever())
         self._context.spawn(self._tick_forever())
         self._context.spawn(self._peers.gossip_forever())
@@ -511,7 +511,9 @@
 
     def _hello(self, session: int, received: int) -> Hello:
         config = self._config
-        return Hello(config.name, self._life, True, config.hall, config.peers, session, received)
+        return Hello(
+            config.name, self._incarnation, True, config.hall, config.peers, session, received
+        )
 
 
 def _unconfigured() -> Response:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -132,9 +132,9 @@
 
     def _refuse(self, problem: str) -> None:
         """Report an invalid message, and close the connection."""
-        word = Word.FRAME if self.peer else Word.GREETING
+        kind = Word.FRAME if self.peer else Word.GREETING
         self._handler.message_refused(
-            self, Refusal(word, self.peer or self._remote_host(), problem)
+            self, Refusal(kind, self.peer or self._remote_host(), problem)
         )
         self.close()
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
@@ -71,9 +71,9 @@
         """Count an event."""
         self._counts[EVENTS, (("event", name),)] += 1
 
-    def refused(self, word: str) -> None:
+    def refused(self, kind: str) -> None:
         """Count a refused message."""
-        self._counts[REFUSED, (("word", word),)] += 1
+        self._counts[REFUSED, (("word", kind),)] += 1
 
     def page(self) -> bytes:
         """Return the metrics page."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/ports.py
@@ -57,7 +57,7 @@
         """Order a stop; return whether the runner confirmed it."""
 
     async def is_current_incarnation(self, incarnation: RunnerLife) -> bool | None:
-        """Ask whether this is the running incarnation; None if the answer doesn't tell."""
+        """Ask whether this is the running incarnation; None if it is unknown."""
 
     async def poll(self, poll: Look) -> LookAnswer | OtherIncarnation | Superseded | None:
         """Renew the lease and list the runs; None if there was no answer."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -101,7 +101,7 @@
         self._store = store
         self._context = context
         self._times = lease_times(config.bounds)
-        self._life = os.urandom(6).hex()
+        self._incarnation = os.urandom(6).hex()
         self._worker = Worker(self._times, config.hall, config.bounds.cold_overrun)
         self._suspensions = clock.SuspensionDetector()
         self._meter = LinkMeter(context, self._connections, self._echo_age, self._times.usual_echo)
@@ -137,7 +137,7 @@
         """Return the state for the dump page."""
         return {
             "name": self._config.name,
-            "life": self._life,
+            "life": self._incarnation,
             "link": self._meter.describe(),
             **self._worker.describe(self._now()),
         }
@@ -154,7 +154,9 @@
         await serve_pages(pages, self._config.metrics, self._context)
         self._add_gauges()
         self._meter.add_gauges()
-        self._context.event("started", role="target", node=self._config.name, life=self._life)
+        self._context.event(
+            "started", role="target", node=self._config.name, life=self._incarnation
+        )
         self._context.spawn(self._poll_forever())
         self._context.spawn(self._dialer.run())
         self._context.spawn(self._tick_forever())
@@ -353,7 +355,9 @@
         config = self._config
         self._hello_sent_at[link] = self._now()
         link.send(
-            Hello(config.name, self._life, False, config.hall, config.address, number, received)
+            Hello(
+                config.name, self._incarnation, False, config.hall, config.address, number, received
+            )
         )
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
@@ -443,9 +447,9 @@
             await asyncio.sleep(pause)
             pause = STORE_LOOKUP_SECONDS
             if not self._links:
-                await self._ask_for_entries()
+                await self._dial_stored_entries()
 
-    async def _ask_for_entries(self) -> None:
+    async def _dial_stored_entries(self) -> None:
         """Dial those of the store's entries that this target needs sessions with."""
         try:
             entries = await self._store.entries()
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -149,10 +149,10 @@
         gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(ROUND / 2)
         gossip.cancel()
-        whole = [link for link in links if len(link.frames) == 2]
-        assert len(whole) == 1
+        with_list = [link for link in links if len(link.frames) == 2]
+        assert len(with_list) == 1
         assert all(len(msgspec.msgpack.encode(link.frames[0])) < MAX_ROUND_BYTES for link in links)
-        assert whole[0].frames[1].bodies == [Entries(peers.live())]
+        assert with_list[0].frames[1].bodies == [Entries(peers.live())]
 
     run_scenario(monkeypatch, links, scenario)
 
@@ -281,10 +281,10 @@
             version = CatalogVersion(number)
             peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
         await asyncio.sleep(ASK_SECONDS[1] + 4 * entrypeers.MIN_SPREAD_INTERVAL_SECONDS)
-        asked = [link.peer for link in links if link.frames]
-        assert len(asked) == 1
-        assert asked != ["e0"]
-        assert owner.requested_from == asked
+        requested = [link.peer for link in links if link.frames]
+        assert len(requested) == 1
+        assert requested != ["e0"]
+        assert owner.requested_from == requested
 
     run_scenario(monkeypatch, links, scenario)
 
