--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -114,16 +114,16 @@
         )
         self.catalog: Catalog = EMPTY
         self._exchanges: dict[int, Exchange] = {}
-        self._callers = HttpServer(self)
-        self._early = EarlyRequests(_unconfigured)
-        self._links: dict[str, PeerLink] = {}
+        self._caller_server = HttpServer(self)
+        self._early_requests = EarlyRequests(_unconfigured)
+        self._target_links: dict[str, PeerLink] = {}
         self._frame_due: set[str] = set()
         """Names of targets that are due a frame even if no message is pending."""
         own = EntryAddress(config.name, config.peers, self._incarnation, config.hall)
         hello, silence = self._hello(0, 0), self._times.session
         self._peers = EntryPeers(self, own, hello, silence, config.link_mbps)
         self._peers.set_seeds(set(config.seeds))
-        self._follower = StoreFollower(store, context, own, self)
+        self._store_follower = StoreFollower(store, context, own, self)
         self._meter = LinkMeter(
             context,
             self._connections,
@@ -163,7 +163,7 @@
 
     async def _start(self) -> None:
         self._loop = asyncio.get_running_loop()
-        await self._callers.start(self._config.callers)
+        await self._caller_server.start(self._config.callers)
         await HttpServer(_ReadinessPage(self)).start(self._config.ready)
         await serve(
             lambda: PeerLink(self._incoming_handler, self._times.session), self._config.peers
@@ -174,35 +174,35 @@
             self._context.metrics,
             self._dispatcher,
             lambda: self.catalog.version,
-            lambda: len(self._links),
+            lambda: len(self._target_links),
         )
         self._meter.add_gauges()
         self._context.event("started", role="entry", node=self._config.name, life=self._incarnation)
         self._context.spawn(self._peers.dial_forever())
         self._context.spawn(self._tick_forever())
         self._context.spawn(self._peers.gossip_forever())
-        self._context.spawn(self._follower.follow())
-        self._context.spawn(self._follower.announce())
+        self._context.spawn(self._store_follower.follow())
+        self._context.spawn(self._store_follower.announce())
 
     async def _leave(self) -> None:
         began = self._now()
         self._leaving = True
-        self._callers.closing = True
+        self._caller_server.closing = True
         self._context.event("leaving", jobs=self._dispatcher.jobs)
-        self._context.spawn(self._follower.withdraw())
+        self._context.spawn(self._store_follower.withdraw())
         last = began + self._config.bounds.grace - END_MARGIN
         self._dispatcher.leave(last)
         noticed = min(began + BALANCER_DELAY_SECONDS, last)
         while self._now() < noticed:
             await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
         # The balancer sends no new connections now; callers may still use keep-alive ones.
-        self._callers.close_idle()
+        self._caller_server.close_idle()
         while self._now() < last and self._dispatcher.jobs:
             await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
         self._act(self._dispatcher.finish(self._now()))
         self._flush()
-        self._callers.stop_listening()
-        self._callers.close_idle()
+        self._caller_server.stop_listening()
+        self._caller_server.close_idle()
         await asyncio.sleep(0.05)
         self._context.cancel()
         self._context.event("stopped", after_ms=round((self._now() - began) * 1000))
@@ -223,7 +223,10 @@
             return False
         if self._targetless.should_be_unready(self._now()):
             return False
-        return bool(self._links) or self._now() > self._started_at + READY_WITHOUT_TARGETS_SECONDS
+        return (
+            bool(self._target_links)
+            or self._now() > self._started_at + READY_WITHOUT_TARGETS_SECONDS
+        )
 
     def handle(self, exchange: Exchange) -> None:
         """Submit a caller's request, or hold it until the first configuration is known."""
@@ -232,7 +235,7 @@
             if self._leaving:
                 exchange.respond(_unconfigured())
             else:
-                self._early.hold(exchange)
+                self._early_requests.hold(exchange)
             return
         self._handle(exchange, 0.0)
 
@@ -257,7 +260,7 @@
 
     def abandoned(self, exchange: Exchange) -> None:
         """Withdraw the job of a caller that disconnected."""
-        self._early.drop(exchange.number)
+        self._early_requests.drop(exchange.number)
         if self._exchanges.pop(exchange.number, None) is not None:
             self._act(self._dispatcher.caller_left(self._now(), exchange.number))
 
@@ -309,8 +312,8 @@
         if session is None:
             link.send(self._hello(0, 0))
             return
-        old = self._links.get(hello.name)
-        self._links[hello.name] = link
+        old = self._target_links.get(hello.name)
+        self._target_links[hello.name] = link
         if old is not None and old is not link:
             old.close()
         link.send(self._hello(session.number, session.received))
@@ -319,7 +322,7 @@
 
     def accept_frame(self, link: PeerLink, frame: Frame) -> None:
         """Process a frame of a target, or of another entry."""
-        if self._links.get(link.peer) is link:
+        if self._target_links.get(link.peer) is link:
             now = self._now()
             self._act(self._dispatcher.handle_frame(now, link.peer, frame))
             if self._dispatcher.needs_immediate_reply(now, link.peer, frame):
@@ -329,8 +332,8 @@
 
     def link_closed(self, link: PeerLink) -> None:
         """Record that a connection has ended."""
-        if link.peer and self._links.get(link.peer) is link:
-            del self._links[link.peer]
+        if link.peer and self._target_links.get(link.peer) is link:
+            del self._target_links[link.peer]
             self._dispatcher.disconnected(self._now(), link.peer)
 
     def refuse(self, refusal: Refusal) -> None:
@@ -343,7 +346,7 @@
 
     def notify_targets(self, changes: EntryChanges) -> None:
         """Send all targets the entries that have joined or gone."""
-        for name in self._links:
+        for name in self._target_links:
             session = self._dispatcher.session(name)
             if session is not None:
                 session.send(changes)
@@ -376,7 +379,7 @@
 
     def target_count(self) -> int:
         """Return the number of connected targets."""
-        return len(self._links)
+        return len(self._target_links)
 
     def receive_target_count(self, targets: int, source: str) -> None:
         """Record how many targets another entry is connected to."""
@@ -400,7 +403,7 @@
             return
         before = self.catalog.version
         self.catalog = catalog
-        limits = self._callers.limits
+        limits = self._caller_server.limits
         limits.header_bytes = catalog.limits.header_bytes
         limits.body_bytes = catalog.limits.body_bytes
         limits.header_timeout = catalog.limits.header_timeout
@@ -409,7 +412,7 @@
             "catalog_adopted", version=catalog.version, before=before, source=source
         )
         self._peers.announce_catalog(catalog)
-        for exchange, waited in self._early.release():
+        for exchange, waited in self._early_requests.release():
             self._handle(exchange, waited)
 
     def catalog_requested(self, peer: str) -> None:
@@ -424,7 +427,11 @@
         )
 
     def _connections(self) -> list[MeteredConnection]:
-        return [*self._links.values(), *self._peers.links(), *self._callers.open_connections]
+        return [
+            *self._target_links.values(),
+            *self._peers.links(),
+            *self._caller_server.open_connections,
+        ]
 
     def _turns_away(self, now: float) -> bool:
         return self._meter.pressure.turns_away(now) and self._has_alternative_entry()
@@ -448,7 +455,7 @@
         else:
             self._unready_since = float("inf")
         noticed = now >= self._unready_since + BALANCER_DELAY_SECONDS
-        self._callers.closing = self._leaving or noticed
+        self._caller_server.closing = self._leaving or noticed
         refused = Refused("link_pressed", OVERLOAD_RETRY_SECONDS)
         self._dispatcher.new_job_refusal = refused if pressed else None
 
@@ -457,7 +464,7 @@
         while True:
             self._meter.sample_when_due(self._now())
             self._apply_link_pressure()
-            self._targetless.record_own_count(self._now(), len(self._links))
+            self._targetless.record_own_count(self._now(), len(self._target_links))
             self._act(self._dispatcher.tick(self._now()))
             self._flush()
             if self._dispatcher.has_new_jobs:
@@ -471,7 +478,7 @@
         """Close half-open connections, so that targets reconnect."""
         now = self._now()
         for target in self._dispatcher.targets():
-            link = self._links.get(target.name)
+            link = self._target_links.get(target.name)
             if link is not None and target.is_silent(now, self._times):
                 link.close()
 
@@ -483,7 +490,7 @@
     def _flush(self) -> None:
         self._flushing = False
         self._act(self._dispatcher.place_waiting(self._now()), flush=False)
-        for link in list(self._links.values()):
+        for link in list(self._target_links.values()):
             session = self._dispatcher.session(link.peer)
             if session is not None and (session.pending or link.peer in self._frame_due):
                 self._send(link, session)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
@@ -126,7 +126,7 @@
         self._target = b""
         self._headers: dict[str, str] = {}
         self._head_bytes = 0
-        self._unparsed_head_bytes = 0
+        self._received_head_bytes = 0
         self._in_head = False
         self._body = bytearray()
         self._in_message = False
@@ -153,8 +153,8 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._error_status = self._error_status or BAD_REQUEST
         if self._in_head:
-            self._unparsed_head_bytes += len(data)
-            self._check_head_size(self._unparsed_head_bytes)
+            self._received_head_bytes += len(data)
+            self._check_head_size(self._received_head_bytes)
         if len(self._queued) > MAX_PIPELINED:
             self._error_status = self._error_status or BAD_REQUEST
         self._handle_next()
@@ -197,7 +197,7 @@
         self._target = b""
         self._headers = {}
         self._head_bytes = 0
-        self._unparsed_head_bytes = 0
+        self._received_head_bytes = 0
         self._body.clear()
         self._in_message = True
         self._in_head = True
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -105,7 +105,7 @@
         self._worker = Worker(self._times, config.hall, config.bounds.cold_overrun)
         self._suspensions = clock.SuspensionDetector()
         self._meter = LinkMeter(context, self._connections, self._echo_age, self._times.usual_echo)
-        self._links: dict[str, PeerLink] = {}
+        self._entry_links: dict[str, PeerLink] = {}
         self._names_by_address: dict[str, str] = {}
         """Names of entries by address."""
         self._hello_sent_at: dict[PeerLink, float] = {}
@@ -176,7 +176,7 @@
         )
 
     def _connections(self) -> list[MeteredConnection]:
-        return list(self._links.values())
+        return list(self._entry_links.values())
 
     def _echo_age(self) -> float | None:
         return self._worker.echo_age(self._now())
@@ -184,7 +184,7 @@
     def _add_gauges(self) -> None:
         metrics = self._context.metrics
         metrics.gauge("paddleshunt_runs", "Runs at work.", lambda: self._worker.runs)
-        metrics.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._links))
+        metrics.gauge("paddleshunt_sessions", "Entries in session.", lambda: len(self._entry_links))
 
     def _now(self) -> float:
         now, suspended = self._suspensions.read()
@@ -374,12 +374,12 @@
         if session is None or session.number != hello.session:
             link.close()
             return
-        self._links[hello.name] = link
+        self._entry_links[hello.name] = link
         self._flush(heartbeat=True)
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
         """Process a frame of an entry."""
-        if self._links.get(link.peer) is not link:
+        if self._entry_links.get(link.peer) is not link:
             return
         now = self._now()
         for body in frame.bodies:
@@ -402,8 +402,8 @@
     def connection_closed(self, link: PeerLink) -> None:
         """Record that a connection has ended; its session can be resumed for a while."""
         self._hello_sent_at.pop(link, None)
-        if link.peer and self._links.get(link.peer) is link:
-            del self._links[link.peer]
+        if link.peer and self._entry_links.get(link.peer) is link:
+            del self._entry_links[link.peer]
             self._dialer.redial(link)
 
     def _dial_entries(self, now: float, entries: list[EntryAddress]) -> None:
@@ -415,7 +415,7 @@
         name = self._names_by_address.get(address, "")
         if not self._may_open_session(name):
             return False
-        if not self._links:
+        if not self._entry_links:
             return True
         if not name:
             return not self._choice.has_entries()
@@ -427,14 +427,16 @@
             self._choice.suspect(self._now(), name)
 
     def _wanted_entries(self) -> list[EntryAddress]:
-        return self._choice.wanted(self._now(), set(self._links))
+        return self._choice.wanted(self._now(), set(self._entry_links))
 
     def _close_surplus_sessions(self, now: float) -> None:
         """Close sessions beyond those to be kept, once the preferred ones are open.
 
         An idle session without a connection doesn't count as open: its entry may have exited.
         """
-        open_now = self._worker.session_names() & self._links.keys() | self._worker.held_names()
+        open_now = (
+            self._worker.session_names() & self._entry_links.keys() | self._worker.held_names()
+        )
         self._act(self._worker.retire(now, self._choice.sessions_to_keep(open_now)))
 
     def _may_open_session(self, name: str) -> bool:
@@ -446,7 +448,7 @@
         while True:
             await asyncio.sleep(pause)
             pause = STORE_LOOKUP_SECONDS
-            if not self._links:
+            if not self._entry_links:
                 await self._dial_stored_entries()
 
     async def _dial_stored_entries(self) -> None:
@@ -484,7 +486,7 @@
         """
         held = self._worker.held_names()
         any_silent = False
-        for name, link in list(self._links.items()):
+        for name, link in list(self._entry_links.items()):
             silent = self._worker.silence(now, name)
             if silent > (self._times.session if name in held else self._times.idle_session):
                 self._choice.suspect(now, name)
@@ -526,7 +528,7 @@
         next_report = self._worker.prepare_frames(now)
         if next_report is not None:
             self._schedule_report_flush(next_report)
-        for name, link in self._links.items():
+        for name, link in self._entry_links.items():
             frame = self._worker.next_frame(now, name, beat=heartbeat)
             if frame is not None:
                 link.send(frame)
--- a/testing/council/test_starting.py
+++ b/testing/council/test_starting.py
@@ -56,7 +56,7 @@
 
     async def scene(system: System) -> None:
         await system.open()
-        await asyncio.wait_for(until_true(lambda: bool(system.target._links)), 10)
+        await asyncio.wait_for(until_true(lambda: bool(system.target._entry_links)), 10)
 
     system = System()
     system.seeds = ()
@@ -72,7 +72,7 @@
 
     async def scene(system: System) -> None:
         system.target._store.entries = entries  # type: ignore[method-assign]
-        await system.target._ask_for_entries()
+        await system.target._dial_stored_entries()
         dialled = system.target._dialer._wanted.keys() - {system.peers}
         assert len(dialled) == MAX_SESSIONS
         assert dialled <= {entry.address for entry in announced}
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -435,7 +435,7 @@
 ) -> None:
     async def scenario(entry: Entry, pressure: Pressure) -> None:
         entry.service.receive_target_count(others, "e9")
-        links = entry.service._links
+        links = entry.service._target_links
         links["t1"] = PeerLink(entry.service._incoming_handler, 1.0)
         await asyncio.sleep(0.2)
         assert await entry.ready() == 200
