--- a/testing/core/leased/test_crashevidence.py
+++ b/testing/core/leased/test_crashevidence.py
@@ -208,7 +208,9 @@
     evidence_log.learn(1.9, silent("back", SECOND, 200))
     assert evidence_log.evidence_against(1.9, "short", 0.0, TARGETS, ()) is None
     assert (
-        evidence_log.evidence_against(2.0 + RETURN_WAIT_LEASES * RESTART_SECONDS, "short", 0.0, TARGETS, ())
+        evidence_log.evidence_against(
+            2.0 + RETURN_WAIT_LEASES * RESTART_SECONDS, "short", 0.0, TARGETS, ()
+        )
         is not None
     )
 
