--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -575,7 +575,7 @@
         match body:
             case RunnerReport():
                 target.drop_covered(frame)
-                target.take_report(now, body)
+                target.update_report(now, body)
                 self._speeds.reported(target)
                 self._resource_requests.record_report(target)
                 self._sync_evacuation(target, body)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/lessons.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/lessons.py
@@ -36,7 +36,7 @@
             return
         request = job.request
         work = work_of(now - task.placed_at) / self._placement.locality_factor(job, target)
-        task.work, task.ran_on = work, target.runner
+        task.work, task.ran_on = work, target.runner_incarnation
         sound = work * self._speeds.typical(job.queue.service) / target.slowness
         self._lengths.of(job.queue.name).ended(request.estimate, request.deadline, sound)
 
@@ -46,6 +46,6 @@
             (target, task.work)
             for task in job.tasks
             if task.work and (target := targets.get(task.target)) is not None
-            if target.runner == task.ran_on
+            if target.runner_incarnation == task.ran_on
         ]
         self._speeds.compare_tasks(job.length, done)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -64,14 +64,14 @@
     cold_until: float = 0.0
     """When its runner was, or will be, warm after its start."""
 
-    runner: RunnerLife | None = None
+    runner_incarnation: RunnerLife | None = None
     """The incarnation of its runner that reported last."""
 
-    def take_report(self, now: float, report: RunnerReport) -> None:
+    def update_report(self, now: float, report: RunnerReport) -> None:
         """Adopt a report; reset the deviation if it is from another incarnation of the runner."""
-        if self.runner != report.life:
+        if self.runner_incarnation != report.life:
             self.deviation = 1.0
-            self.runner = report.life
+            self.runner_incarnation = report.life
         # A runner that reports it is warm counts as having been cold until now at the latest.
         cold_until = now + report.cold_ms / 1000
         self.cold_until = cold_until if report.cold_ms else min(self.cold_until, now)
--- a/testing/core/leased/test_coldness.py
+++ b/testing/core/leased/test_coldness.py
@@ -42,7 +42,7 @@
 
 def target(name: str, cold_ms: int = 0) -> TargetRecord:
     record = TargetRecord(name, "hall", "1")
-    record.take_report(10.0, report(cold_ms))
+    record.update_report(10.0, report(cold_ms))
     return record
 
 
@@ -99,7 +99,7 @@
 
 def test_a_runner_that_says_it_is_warm_was_cold_before() -> None:
     record = target("t", 5000)
-    record.take_report(11.0, report())
+    record.update_report(11.0, report())
     assert record.is_cold(10.9)
     assert not record.is_cold(11.1)
 
--- a/testing/core/leased/test_resourcerequests.py
+++ b/testing/core/leased/test_resourcerequests.py
@@ -21,7 +21,7 @@
 def target(name: str, *, service: str = "svc", labels: tuple[str, ...] = ()) -> TargetRecord:
     record = TargetRecord(name, "hall", "life", session=Session(1, 0))
     capacity = Resources(8000, 8000)
-    record.take_report(
+    record.update_report(
         1.0,
         RunnerReport(service, "i-1", RunnerState.READY, Health.GOOD, capacity, NOTHING, labels),
     )
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -35,7 +35,7 @@
 
 def target(kind: str, name: str = "t") -> TargetRecord:
     record = TargetRecord(name, "hall", "1")
-    record.take_report(0.0, report(kind))
+    record.update_report(0.0, report(kind))
     return record
 
 
@@ -157,7 +157,7 @@
     speeds = Speeds()
     targets = fleet("a", "a", "b")
     teach(speeds, targets, 100, {"t0": 2.5})
-    targets[0].take_report(1.0, report("b", "life-2"))
+    targets[0].update_report(1.0, report("b", "life-2"))
     speeds.reported(targets[0])
     assert targets[0].deviation == 1.0
     assert targets[0].slowness == speeds.factor("svc", "b")
@@ -167,7 +167,7 @@
     ours = target("a")
     ours.deviation = 2.0
     ours.reset()
-    ours.take_report(1.0, report("a"))
+    ours.update_report(1.0, report("a"))
     assert ours.deviation == 2.0
     ours.decay_deviation(300.0)
     assert ours.deviation == pytest.approx(1.0)
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -357,7 +357,7 @@
     targets = []
     for number, kind in enumerate("ab"):
         record = TargetRecord(f"t{number}", "hall", "1")
-        record.take_report(
+        record.update_report(
             0.0, RunnerReport("svc", "i", READY, GOOD, ROOM, ROOM, (kind,), kind=kind)
         )
         targets.append(record)
