--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -255,7 +255,7 @@
             return False
         for silent_ms in known:
             # The same incarnation is silent again, so it had answered in between.
-            self._retract(now, LossId.of(loss.incarnation, silent_ms))
+            self._retract(now, LossId.for_incarnation(loss.incarnation, silent_ms))
         work: RunTimes = {}
         for task, queue, ms in zip(update.tasks, update.queues, update.worked_ms, strict=False):
             work.setdefault(queue, {})[task] = max(MIN_WORK_SECONDS, ms / 1000)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -133,7 +133,7 @@
         return now if self._silent_since is None else self._silent_since
 
     def _loss_id(self, now: float, status: RunnerStatus) -> LossId:
-        return LossId.of(status.runner, int(self._silence_start(now) * 1000))
+        return LossId.for_incarnation(status.runner, int(self._silence_start(now) * 1000))
 
     def _affected(self, now: float, table: RunTable) -> tuple[list[TaskId], list[str], list[int]]:
         """Return the affected tasks in order, with the queue and the milliseconds of work of each.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -38,7 +38,7 @@
             return
         request = job.request
         work = work_seconds(now - task.placed_at) / self._placement.locality_factor(job, target)
-        task.work, task.ran_on = work, target.runner
+        task.work, task.ran_on = work, target.runner_incarnation
         normalized = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
         self._lengths.of(job.queue.name).observe(request.estimate, request.deadline, normalized)
 
@@ -48,6 +48,6 @@
             (target, task.work)
             for task in job.tasks
             if task.work and (target := targets.get(task.target)) is not None
-            if target.runner == task.ran_on
+            if target.runner_incarnation == task.ran_on
         ]
         self._speeds.compare_tasks(job.length, samples)
--- a/testing/core/leased/test_lossmessages.py
+++ b/testing/core/leased/test_lossmessages.py
@@ -46,7 +46,7 @@
         messages_sent: list[LossUpdate] = []
         last = len(self.silences) - 1
         for number, (silent_ms, tasks) in enumerate(self.silences):
-            loss = LossId.of(self.name, silent_ms)
+            loss = LossId.for_incarnation(self.name, silent_ms)
             messages_sent.append(RunnerLost(loss, tasks))
             if number < last or self.answered:
                 messages_sent.append(RunnerReturned(loss))
@@ -153,7 +153,7 @@
     for incarnation in truth:
         own = [message for message in messages if message.loss.incarnation == incarnation.name]
         moment, tasks = incarnation.silences[-1]
-        if RunnerReturned(LossId.of(incarnation.name, moment)) in own:
+        if RunnerReturned(LossId.for_incarnation(incarnation.name, moment)) in own:
             tasks = []
         elif not any(message.loss.silent_ms == moment for message in own):
             continue
