--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 
 import click
+
 from days import spread
 
 
--- a/testing/benchmarks/test_days.py
+++ b/testing/benchmarks/test_days.py
@@ -3,9 +3,10 @@
 from pathlib import Path
 
 import pytest
-from days import Figures, Play, compare, spread
 from rounds import RoundResult, read_rounds
 
+from days import Figures, Play, compare, spread
+
 
 def play(variant: str, day: str, seed: int) -> Play:
     return Play(variant, Path(), day, seed)
