--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -130,7 +130,7 @@
         """
         self.expire(now)
         answered = [
-            RunnerReturned(LossId.of(incarnation, last.silent_ms))
+            RunnerReturned(LossId.for_incarnation(incarnation, last.silent_ms))
             for incarnation, last in self._answered.items()
         ]
         known = self._losses.values()
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -131,7 +131,7 @@
         return now if self._silent_since is None else self._silent_since
 
     def _loss(self, now: float, account: RunnerAccount) -> LossId:
-        return LossId.of(account.runner, int(self._since(now) * 1000))
+        return LossId.for_incarnation(account.runner, int(self._since(now) * 1000))
 
     def _at_work(self, now: float, table: RunTable) -> tuple[list[TaskId], list[str], list[int]]:
         """Return the tasks at work in order, the queue of each, and its milliseconds of work.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/suspicion.py
@@ -240,7 +240,7 @@
             return False
         for silent_ms in known:
             # The same life is silent anew: it had answered meanwhile.
-            self._undo(now, LossId.of(loss.incarnation, silent_ms))
+            self._undo(now, LossId.for_incarnation(loss.incarnation, silent_ms))
         work: Work = {}
         for task, queue, ms in zip(news.tasks, news.queues, news.worked_ms, strict=False):
             work.setdefault(queue, {})[task] = max(SHORTEST_WORK, ms / 1000)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -227,7 +227,7 @@
         return RunnerLife(self.runner, self.born)
 
     @classmethod
-    def of(cls, incarnation: RunnerLife, silent_ms: int) -> "LossId":
+    def for_incarnation(cls, incarnation: RunnerLife, silent_ms: int) -> "LossId":
         """Return the id of the loss of an incarnation."""
         return cls(incarnation.id, silent_ms, incarnation.born)
 
--- a/testing/core/leased/test_losswords.py
+++ b/testing/core/leased/test_losswords.py
@@ -46,7 +46,7 @@
         said: list[LossUpdate] = []
         last = len(self.silences) - 1
         for number, (silent_ms, tasks) in enumerate(self.silences):
-            loss = LossId.of(self.name, silent_ms)
+            loss = LossId.for_incarnation(self.name, silent_ms)
             said.append(RunnerLost(loss, tasks))
             if number < last or self.answered:
                 said.append(RunnerReturned(loss))
@@ -151,7 +151,7 @@
     for incarnation in truth:
         about = [word for word in words if word.loss.incarnation == incarnation.name]
         moment, tasks = incarnation.silences[-1]
-        if RunnerReturned(LossId.of(incarnation.name, moment)) in about:
+        if RunnerReturned(LossId.for_incarnation(incarnation.name, moment)) in about:
             tasks = []
         elif not any(word.loss.silent_ms == moment for word in about):
             continue
