--- a/testing/soak/twobuilds.py
+++ b/testing/soak/twobuilds.py
@@ -153,25 +153,33 @@
     deployment.builds = {name: sources(old) for name in names}
     async with deployed(deployment, len(ENTRIES), len(TARGETS)):
         steps = Play(deployment, record)
-        _print("serve", await steps.serve())
-        _print("configure", await steps.configure())
-        _print("hand on", await steps.hand_on(ENTRIES[0]))
-        _print("hand on", await steps.hand_on(ENTRIES[1]))
-        _print("evacuate", await steps.evacuate())
-        _print("lose", await steps.lose(TARGETS[0]))
-        _print("lose", await steps.lose(TARGETS[1]))
-        if exchange:
-            for name in names:
-                process = deployment.processes[name]
-                _print("exchange", await steps.exchange(process, ROOT))
-            _print("serve", await steps.serve())
-            _print("configure", await steps.configure())
-        await steps.leave()
+        try:
+            await _play_steps(steps, deployment, names, exchange=exchange)
+        finally:
+            await steps.leave()
     broken = [f"{seen.rule} {seen.text}" for seen in record.finish()]
     if broken:
         raise StepError(f"expected no broken rule, found {broken}")
 
 
+async def _play_steps(
+    steps: Play, deployment: Deployment, names: Sequence[str], *, exchange: bool
+) -> None:
+    _print("serve", await steps.serve())
+    _print("configure", await steps.configure())
+    _print("hand on", await steps.hand_on(ENTRIES[0]))
+    _print("hand on", await steps.hand_on(ENTRIES[1]))
+    _print("evacuate", await steps.evacuate())
+    _print("lose", await steps.lose(TARGETS[0]))
+    _print("lose", await steps.lose(TARGETS[1]))
+    if exchange:
+        for name in names:
+            process = deployment.processes[name]
+            _print("exchange", await steps.exchange(process, ROOT))
+        _print("serve", await steps.serve())
+        _print("configure", await steps.configure())
+
+
 def _print(step: str, seen: str) -> None:
     click.echo(f"    {step}: {seen}")
 
