--- a/testing/council/test_lives.py
+++ b/testing/council/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Which life answers is told by an answer that says so, not by any answer."""
+"""Only an answer that identifies its incarnation confirms that it is running."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 
 
 @pytest.mark.parametrize("status", [429, 500, 502, 503])
-def test_an_answer_of_a_failing_runner_confirms_no_life(status: int) -> None:
-    """Confirmed, a late heartbeat of an unknown life ends the known one, with all that it runs."""
+def test_answer_of_a_failing_runner_confirms_no_incarnation(status: int) -> None:
+    """A wrong confirmation of a late heartbeat would end the current incarnation and its runs."""
 
-    class Failing(RunnerStandIn):
+    class FailingRunner(RunnerStandIn):
         def answer(
             self, path: str, asked: dict[str, object], headers: dict[str, str]
         ) -> tuple[int, object] | None:
             return status, {}
 
     async def scene() -> None:
-        standin = Failing()
+        standin = FailingRunner()
         await standin.start()
         assert (
             await Runner(standin.address).is_current_incarnation(RunnerIncarnation("i-0"))
@@ -38,9 +38,9 @@
         (RunnerIncarnation("i-1"), 17, True),
         (RunnerIncarnation("i-2", 17), 17, False),
     ],
-    ids=["same", "other_start", "start_not_said", "start_not_asked", "other_id"],
+    ids=["same", "other_start", "start_not_answered", "start_not_asked", "other_id"],
 )
-def test_the_runner_says_which_life_of_an_id_it_is(
+def test_current_incarnation_is_identified_by_its_start_time(
     asked: RunnerIncarnation, answered: int | None, expected: bool | None
 ) -> None:
     async def scene() -> None:
--- a/testing/council/test_late_looks.py
+++ b/testing/council/test_late_polls.py
@@ -1,4 +1,4 @@
-"""A target stands still after its runner has answered a look, before it takes the answer."""
+"""A target process that pauses between a poll's answer and its handling must lose no run."""
 
 import time
 from collections.abc import Callable
@@ -14,26 +14,26 @@
 KEY = "5c0e7a21d94b36f8"
 
 
-class LateLook:
-    """A runner's port behind which the whole process stands still, once all runs are at work."""
+class DelayedPollPort:
+    """A runner port that pauses the whole process after a poll, once all runs have started."""
 
     def __init__(self, port: RunnerPort, seconds: float) -> None:
         self._port = port
         self.seconds = seconds
-        self._started = 0
+        self._started_runs = 0
 
-    def expect(self, life: RunnerIncarnation | None) -> None:
-        self._port.expect(life)
+    def expect(self, incarnation: RunnerIncarnation | None) -> None:
+        self._port.expect(incarnation)
 
-    def refine_identity(self, life: RunnerIncarnation) -> None:
-        self._port.refine_identity(life)
+    def refine_identity(self, incarnation: RunnerIncarnation) -> None:
+        self._port.refine_identity(incarnation)
 
     def supersede(self) -> None:
         self._port.supersede()
 
     async def start(self, order: StartRun, may_send: Callable[[], bool]) -> StartAnswer:
         answer = await self._port.start(order, may_send)
-        self._started += answer is StartAnswer.STARTED
+        self._started_runs += answer is StartAnswer.STARTED
         return answer
 
     async def stop(self, order: StopRun) -> bool:
@@ -41,19 +41,19 @@
 
     async def poll(self, poll: Poll) -> PollAnswer | OtherIncarnation | Superseded | None:
         answer = await self._port.poll(poll)
-        if self._started == 3 and isinstance(answer, PollAnswer) and len(answer.running) == 3:
+        if self._started_runs == 3 and isinstance(answer, PollAnswer) and len(answer.running) == 3:
             seconds, self.seconds = self.seconds, 0.0
             time.sleep(seconds)
         return answer
 
 
 @pytest.mark.parametrize("seconds", [0.15, 0.2])
-def test_a_stand_still_before_a_look_is_read_stops_no_run(seconds: float) -> None:
+def test_pause_before_a_poll_answer_is_read_stops_no_run(seconds: float) -> None:
     assert seconds > lease_times(BOUNDS).heartbeat
-    ports: list[LateLook] = []
+    ports: list[DelayedPollPort] = []
 
-    def late(port: RunnerPort) -> RunnerPort:
-        ports.append(LateLook(port, seconds))
+    def delayed(port: RunnerPort) -> RunnerPort:
+        ports.append(DelayedPollPort(port, seconds))
         return ports[0]
 
     async def scene(system: System) -> None:
@@ -63,4 +63,4 @@
         assert system.runner.stopped == []
         assert len(system.runner.started) == 3
 
-    play(scene, System(BOUNDS, late))
+    play(scene, System(BOUNDS, delayed))
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -1,4 +1,4 @@
-"""Calls to the runner, against its stand-in."""
+"""Tests of the runner client against a stand-in of the runner."""
 
 import asyncio
 import time
@@ -27,20 +27,20 @@
 
 RUN = RunId(TaskId("5c0e7a21d94b36f8", 0, 7), 2)
 NAME = "5c0e7a21d94b36f8.0.0.7"
-FIRST_LOOK = Poll(0, None, 0.0)
+FIRST_POLL = Poll(0, None, 0.0)
 
 
 def always() -> bool:
     return True
 
 
-def order(seconds: float = 0.5) -> StartRun:
+def start_order(seconds: float = 0.5) -> StartRun:
     """Return an order whose lease ends so many seconds from now."""
     now = time.monotonic()
     return StartRun(RUN, "spec", now + seconds, "e", now)
 
 
-def play(scene: Callable[[Runner, RunnerStandIn], Awaitable[None]]) -> None:
+def run_scene(scene: Callable[[Runner, RunnerStandIn], Awaitable[None]]) -> None:
     async def run() -> None:
         standin = RunnerStandIn()
         await standin.start()
@@ -49,31 +49,31 @@
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
-def test_nothing_is_started_before_the_clock_is_known() -> None:
+def test_no_start_before_the_clock_is_known() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        assert await runner.start(order(), always) is StartAnswer.NOT_SENT
+        assert await runner.start(start_order(), always) is StartAnswer.NOT_SENT
         assert standin.calls == []
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_start_carries_name_token_and_a_deadline_on_the_runners_clock() -> None:
+def test_start_sends_name_token_and_deadline_on_runner_clock() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         asked_at = time.monotonic()
-        await runner.poll(FIRST_LOOK)
-        given = order(0.5)
-        assert await runner.start(given, always) is StartAnswer.STARTED
-        path, asked = standin.calls[-1]
+        await runner.poll(FIRST_POLL)
+        start = start_order(0.5)
+        assert await runner.start(start, always) is StartAnswer.STARTED
+        path, body = standin.calls[-1]
         assert path == "/paddleshunt/run-start"
-        assert (asked["task"], asked["run"], asked["spec"]) == (NAME, 2, "spec")
-        assert asked["fencing_token"] == 5000
-        # The runner's clock was 5000 at some moment between the look and the order.
-        left = (given.until - asked_at) * 1000
+        assert (body["task"], body["run"], body["spec"]) == (NAME, 2, "spec")
+        assert body["fencing_token"] == 5000
+        # The runner's clock was 5000 at some time between the poll and the start.
+        left = (start.until - asked_at) * 1000
         elapsed = (time.monotonic() - asked_at) * 1000
-        deadline = int(str(asked["deadline_ms"]))
+        deadline = int(str(body["deadline_ms"]))
         assert 5000 + left - elapsed - 1 <= deadline <= 5000 + left
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
@@ -90,25 +90,25 @@
 )
 def test_answers_to_a_start(status: int, reason: str, answer: StartAnswer) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         standin.status, standin.reason = status, reason
-        assert await runner.start(order(), always) is answer
+        assert await runner.start(start_order(), always) is answer
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_start_without_an_answer_is_unknown() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         standin.silent = True
-        assert await runner.start(order(), always) is StartAnswer.UNKNOWN
+        assert await runner.start(start_order(), always) is StartAnswer.UNKNOWN
         assert not await runner.stop(StopRun(RUN))
-        assert await runner.poll(FIRST_LOOK) is None
+        assert await runner.poll(FIRST_POLL) is None
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_look_reads_both_lists() -> None:
+def test_poll_reads_running_and_finished_runs() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [[NAME, 2, "", 41, 3], ["other", 1, "", 0, 0]]
         standin.finished = [[58, NAME, 1, "done", ""], [59, NAME, 1, "lapsed", ""]]
@@ -122,153 +122,153 @@
         ]
         assert standin.calls[-1][1]["last_seen"] == 57
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_another_life_is_told_apart() -> None:
+def test_another_incarnation_is_detected() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         runner.expect(RunnerIncarnation("i-1"))
-        assert isinstance(await runner.poll(FIRST_LOOK), PollAnswer)
+        assert isinstance(await runner.poll(FIRST_POLL), PollAnswer)
         standin.life = "i-2"
-        assert isinstance(await runner.poll(FIRST_LOOK), OtherIncarnation)
-        assert await runner.start(order(), always) is StartAnswer.OTHER_INCARNATION
+        assert isinstance(await runner.poll(FIRST_POLL), OtherIncarnation)
+        assert await runner.start(start_order(), always) is StartAnswer.OTHER_INCARNATION
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_new_life_has_a_clock_of_its_own() -> None:
+def test_new_incarnation_resets_the_clock() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         runner.expect(RunnerIncarnation("i-2"))
-        assert await runner.start(order(), always) is StartAnswer.NOT_SENT
+        assert await runner.start(start_order(), always) is StartAnswer.NOT_SENT
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_the_token_rises_with_each_life_of_an_id() -> None:
-    """What was ordered of the last life and comes late must be refused by the next one."""
+def test_token_rises_with_each_incarnation_of_an_id() -> None:
+    """The next incarnation must reject late orders to the last one."""
 
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         tokens = []
-        lives = [("i-1", 20), ("i-1", 10), ("i-2", 30), ("i-1", 40)]
-        for name, born in lives:
+        incarnations = [("i-1", 20), ("i-1", 10), ("i-2", 30), ("i-1", 40)]
+        for name, born in incarnations:
             standin.life, standin.born = name, born
             runner.expect(RunnerIncarnation(name, born))
-            await runner.poll(FIRST_LOOK)
-            await runner.poll(FIRST_LOOK)
+            await runner.poll(FIRST_POLL)
+            await runner.poll(FIRST_POLL)
             tokens.append(standin.calls[-1][1]["fencing_token"])
         assert tokens == [5000, 5001, 5000, 5002]
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_the_token_rises_for_a_life_that_tells_its_start_after_one_that_told_none() -> None:
+def test_token_rises_when_the_next_incarnation_has_a_start_time() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         tokens = []
         for born in (0, 20):
             runner.expect(RunnerIncarnation("i-1", born))
-            await runner.poll(FIRST_LOOK)
-            await runner.poll(FIRST_LOOK)
+            await runner.poll(FIRST_POLL)
+            await runner.poll(FIRST_POLL)
             tokens.append(standin.calls[-1][1]["fencing_token"])
         assert tokens == [5000, 5001]
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_life_that_tells_its_start_later_is_the_same() -> None:
+def test_refined_identity_keeps_clock_and_token() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         runner.expect(RunnerIncarnation("i-1"))
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         runner.refine_identity(RunnerIncarnation("i-1", 20))
-        assert await runner.start(order(), always) is StartAnswer.STARTED
+        assert await runner.start(start_order(), always) is StartAnswer.STARTED
         assert standin.calls[-1][1]["fencing_token"] == 5000
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_lists_say_whose_they_are() -> None:
+def test_poll_answer_has_the_start_time() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.born = 17
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
         assert answer.born == 17
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("silent", [False, True], ids=["answered", "unanswered"])
-def test_a_look_says_nothing_once_another_life_is_meant(silent: bool) -> None:
+def test_poll_is_superseded_by_a_new_expected_incarnation(silent: bool) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.silent = silent
-        poll = asyncio.ensure_future(runner.poll(FIRST_LOOK))
+        poll = asyncio.ensure_future(runner.poll(FIRST_POLL))
         await asyncio.sleep(0)
         runner.expect(RunnerIncarnation("i-1"))
         assert await poll == Superseded()
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_an_order_whose_lease_is_over_is_not_sent() -> None:
+def test_start_with_expired_lease_is_not_sent() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
-        assert await runner.start(order(-0.01), always) is StartAnswer.EXPIRED
+        await runner.poll(FIRST_POLL)
+        assert await runner.start(start_order(-0.01), always) is StartAnswer.EXPIRED
         assert [path for path, _ in standin.calls] == ["/paddleshunt/hold"]
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_look_whose_lease_is_over_renews_nothing() -> None:
+def test_poll_with_expired_lease_does_not_renew() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         await runner.poll(Poll(0, time.monotonic() - 0.2, 0.0))
         assert int(str(standin.calls[-1][1]["deadline_ms"])) < standin.clock
 
-    play(scene)
+    run_scene(scene)
 
 
-def deadline_after(standin: RunnerStandIn) -> int:
-    """Return the deadline of the last order to start."""
-    starts = [asked for path, asked in standin.calls if path.endswith("/run-start")]
+def last_start_deadline(standin: RunnerStandIn) -> int:
+    """Return the deadline of the last start that was sent."""
+    starts = [body for path, body in standin.calls if path.endswith("/run-start")]
     return int(str(starts[-1]["deadline_ms"]))
 
 
-def test_the_runners_clock_is_taken_to_have_run_slow_since_it_was_read() -> None:
+def test_clock_estimate_allows_for_a_slow_runner_clock() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        # The clock was read at some moment of the look: on a busy machine long before it returns.
+        # The runner reads its clock during the poll, on a busy host long before the poll returns.
         asked_at = time.monotonic()
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         await asyncio.sleep(0.5)
-        given = order(0.3)
-        await runner.start(given, always)
-        slow = 5000 + (given.decided - asked_at) * 1000 * (1 - CLOCK_DRIFT)
-        assert deadline_after(standin) <= slow + 300 + 1
+        start = start_order(0.3)
+        await runner.start(start, always)
+        slow = 5000 + (start.decided - asked_at) * 1000 * (1 - CLOCK_DRIFT)
+        assert last_start_deadline(standin) <= slow + 300 + 1
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_clock_that_was_read_late_does_not_set_the_estimate_back() -> None:
+def test_late_clock_reading_does_not_set_the_estimate_back() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         await asyncio.sleep(0.2)
         standin.clock = 4000
-        await runner.poll(FIRST_LOOK)
-        await runner.start(order(0.3), always)
-        assert deadline_after(standin) >= 5400
+        await runner.poll(FIRST_POLL)
+        await runner.start(start_order(0.3), always)
+        assert last_start_deadline(standin) >= 5400
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_an_answer_that_the_pages_do_not_name_leaves_the_start_in_doubt() -> None:
+def test_undocumented_status_leaves_the_start_unknown() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         standin.status = 500
-        assert await runner.start(order(), always) is StartAnswer.UNKNOWN
+        assert await runner.start(start_order(), always) is StartAnswer.UNKNOWN
 
-    play(scene)
+    run_scene(scene)
 
 
 class FencedRunner(RunnerStandIn):
-    """A runner that keeps the highest token, which is far ahead of its clock."""
+    """A runner that has accepted a token far ahead of its clock, and rejects lower ones."""
 
     highest = 700_000
 
@@ -282,49 +282,49 @@
         return super().answer(path, asked, headers)
 
 
-def test_a_token_ahead_of_the_runners_clock_is_passed_in_a_few_looks() -> None:
+def test_a_few_polls_exceed_a_token_ahead_of_the_runner_clock() -> None:
     async def scene() -> None:
         standin = FencedRunner()
         await standin.start()
         runner = Runner(standin.address)
-        answers = [await runner.poll(FIRST_LOOK) for _ in range(12)]
+        answers = [await runner.poll(FIRST_POLL) for _ in range(12)]
         assert isinstance(answers[-1], PollAnswer)
-        assert await runner.start(order(), always) is StartAnswer.STARTED
+        assert await runner.start(start_order(), always) is StartAnswer.STARTED
         assert standin.highest < 2 * 700_000
 
     asyncio.run(asyncio.wait_for(scene(), 20))
 
 
-def test_an_order_that_is_withdrawn_before_it_leaves_is_not_sent() -> None:
+def test_withdrawn_start_is_not_sent() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         calls = len(standin.calls)
-        assert await runner.start(order(), lambda: False) is StartAnswer.WITHDRAWN
+        assert await runner.start(start_order(), lambda: False) is StartAnswer.WITHDRAWN
         assert len(standin.calls) == calls
-        assert await runner.start(order(), always) is StartAnswer.STARTED
+        assert await runner.start(start_order(), always) is StartAnswer.STARTED
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("seconds", [0.2, 1.0, 4.0, 10.0])
-def test_the_runners_clock_may_have_stood_still_while_this_host_was_suspended(
+def test_clock_estimate_ignores_time_while_the_host_was_suspended(
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A deadline that counts on the time for which it may not have run would come too late."""
+    """Counting the suspended time, in which the runner's clock may have stopped, is too late."""
     read = clock.now
 
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
-        await runner.poll(FIRST_LOOK)
+        await runner.poll(FIRST_POLL)
         monkeypatch.setattr(clock, "now", lambda: read() + seconds)
         now = clock.now()
-        given = StartRun(RUN, "spec", now + 0.5, "e", now)
-        assert await runner.start(given, always) is StartAnswer.STARTED
+        start = StartRun(RUN, "spec", now + 0.5, "e", now)
+        assert await runner.start(start, always) is StartAnswer.STARTED
         assert int(str(standin.calls[-1][1]["deadline_ms"])) <= 5000 + 500 + 100
 
-    play(scene)
+    run_scene(scene)
 
 
-ODD_ROWS: dict[str, list[object]] = {
+INVALID_ROWS: dict[str, list[object]] = {
     "short": [NAME],
     "empty": [],
     "no-list": 5,  # type: ignore[dict-item]
@@ -332,22 +332,22 @@
     "negative-run": [NAME, -2, "", 41],
     "name-of-another-type": [[], 2, "", 41],
 }
-OTHER = RunId(TaskId("5c0e7a21d94b36f8", 0, 8), 1)
+OTHER_RUN = RunId(TaskId("5c0e7a21d94b36f8", 0, 8), 1)
 OTHER_ROW: list[object] = ["5c0e7a21d94b36f8.0.0.8", 1, "", 5]
 
 
-@pytest.mark.parametrize("row", ODD_ROWS.values(), ids=ODD_ROWS.keys())
-def test_an_odd_row_hides_no_other_and_is_not_taken_for_a_run_that_is_gone(
+@pytest.mark.parametrize("row", INVALID_ROWS.values(), ids=INVALID_ROWS.keys())
+def test_invalid_row_makes_the_answer_partial_and_keeps_the_others(
     row: list[object],
 ) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
-        assert answer.running == [RunningRun(OTHER, 5)]
+        assert answer.running == [RunningRun(OTHER_RUN, 5)]
         assert answer.partial
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
@@ -355,15 +355,15 @@
     [[NAME, 2, "", 10**30], [NAME, 2], [NAME, 2, None, "x"]],
     ids=["huge-percent", "short", "other-types"],
 )
-def test_a_run_is_shown_if_no_more_than_its_name_can_be_read(row: list[object]) -> None:
+def test_row_with_only_a_valid_run_is_listed(row: list[object]) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
-        assert answer.running == [RunningRun(RunId(RUN.task, 2), 0), RunningRun(OTHER, 5)]
+        assert answer.running == [RunningRun(RunId(RUN.task, 2), 0), RunningRun(OTHER_RUN, 5)]
         assert not answer.partial
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
@@ -371,25 +371,25 @@
     [([60], 60), ([60, [], 1, "done"], 60), ([58], 59), (["x", NAME, 1, "done"], 59)],
     ids=["short", "name", "earlier", "no-number"],
 )
-def test_an_end_is_taken_note_of_if_its_number_can_be_read(row: list[object], listed: int) -> None:
+def test_unreadable_end_counts_by_its_number(row: list[object], listed: int) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[59, NAME, 1, "done", ""], row]
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
         assert (answer.listed, answer.partial, answer.unread_end) == (listed, True, True)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_an_end_whose_kind_can_not_be_read_is_an_end() -> None:
+def test_end_of_invalid_type_counts_as_stopped() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, ["done"]]]
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
         assert answer.finished == [FinishedRun(58, RunId(RUN.task, 1), RunEnd.STOPPED)]
         assert (answer.listed, answer.partial, answer.unread_end) == (58, False, False)
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
@@ -397,28 +397,28 @@
     [[58], [], ["x", NAME, 1, "done"], [-1, NAME, 1, "done"], [58, NAME, None, "done"]],
     ids=["short", "empty", "number", "negative", "run"],
 )
-def test_an_odd_end_hides_no_other(row: list[object]) -> None:
+def test_invalid_end_keeps_the_others(row: list[object]) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [row, [59, NAME, 1, "done", ""]]
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
         assert answer.finished == [FinishedRun(59, RunId(RUN.task, 1), RunEnd.DONE)]
         assert answer.partial
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("name", ["a.b.c.d", "a.0.0.-1", "a.0.0.1_0", "a.0.0." + "9" * 5000, "..."])
-def test_a_name_that_no_order_of_ours_gave_is_passed_over(name: str) -> None:
+def test_foreign_task_names_are_ignored(name: str) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.running = [[name, 1, "", 5], OTHER_ROW]
         standin.finished = [[7, name, 1, "done", ""]]
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
-        assert (answer.running, answer.finished) == ([RunningRun(OTHER, 5)], [])
+        assert (answer.running, answer.finished) == ([RunningRun(OTHER_RUN, 5)], [])
         assert (answer.partial, answer.listed) == (False, 7)
 
-    play(scene)
+    run_scene(scene)
 
 
 BODIES = {
@@ -434,7 +434,7 @@
 
 
 class RawRunner(RunnerStandIn):
-    """A runner whose answers are bytes."""
+    """A runner that answers each call with `body`."""
 
     body = b""
 
@@ -443,7 +443,7 @@
 
 
 @pytest.mark.parametrize("body", BODIES.values(), ids=BODIES.keys())
-def test_an_answer_without_its_lists_does_not_say_that_nothing_runs(body: bytes) -> None:
+def test_answer_without_lists_is_refused(body: bytes) -> None:
     async def scene() -> None:
         standin = RawRunner()
         standin.body = body
@@ -451,53 +451,53 @@
         refused: list[Refusal] = []
         runner = Runner(standin.address, refused.append)
         runner.expect(RunnerIncarnation("i-1"))
-        assert await runner.poll(FIRST_LOOK) is None
+        assert await runner.poll(FIRST_POLL) is None
         assert {(one.kind, one.sender) for one in refused} == {(InputKind.RUNNER_ANSWER, "i-1")}
 
     asyncio.run(asyncio.wait_for(scene(), 20))
 
 
 @pytest.mark.parametrize("clock_ms", [-5, 10**30, "5000", [], 1.5])
-def test_a_clock_that_can_not_be_read_is_not_gone_by(clock_ms: object) -> None:
+def test_invalid_clock_is_ignored(clock_ms: object) -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.clock = clock_ms  # type: ignore[assignment]
-        assert isinstance(await runner.poll(FIRST_LOOK), PollAnswer)
-        assert await runner.start(order(), always) is StartAnswer.NOT_SENT
+        assert isinstance(await runner.poll(FIRST_POLL), PollAnswer)
+        assert await runner.start(start_order(), always) is StartAnswer.NOT_SENT
         standin.clock = 5000
-        await runner.poll(FIRST_LOOK)
-        assert await runner.start(order(), always) is StartAnswer.STARTED
+        await runner.poll(FIRST_POLL)
+        assert await runner.start(start_order(), always) is StartAnswer.STARTED
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_an_end_that_is_not_named_is_an_end() -> None:
+def test_unknown_end_counts_as_stopped() -> None:
     async def scene(runner: Runner, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, "evaporated", ""]]
-        answer = await runner.poll(FIRST_LOOK)
+        answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
         assert answer.finished == [FinishedRun(58, RunId(RUN.task, 1), RunEnd.STOPPED)]
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_a_removed_target_ordered_is_below_the_token_of_the_next_one() -> None:
-    """So a start that the runner carries out late, after the next target has met it, is none."""
+def test_next_target_outbids_the_token_of_a_removed_target() -> None:
+    """The runner then rejects a late start of the removed target."""
 
     async def scene() -> None:
         standin = FencedRunner()
         await standin.start()
         removed, following = Runner(standin.address), Runner(standin.address)
-        while not isinstance(await removed.poll(FIRST_LOOK), PollAnswer):
+        while not isinstance(await removed.poll(FIRST_POLL), PollAnswer):
             pass
-        await removed.start(order(), always)
+        await removed.start(start_order(), always)
         late = standin.calls[-1][1]
         standin.clock += 1
-        while not isinstance(await following.poll(FIRST_LOOK), PollAnswer):
+        while not isinstance(await following.poll(FIRST_POLL), PollAnswer):
             pass
         assert standin.answer("/paddleshunt/run-start", late, {}) == (
             409,
             {"clock_ms": standin.clock, "reason": "fence"},
         )
-        assert await following.start(order(), always) is StartAnswer.STARTED
+        assert await following.start(start_order(), always) is StartAnswer.STARTED
 
     asyncio.run(asyncio.wait_for(scene(), 20))
