--- a/testing/council/test_callers.py
+++ b/testing/council/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests on the platform, and their answers."""
+"""Tests of decoding callers' requests and encoding their answers."""
 
 import msgspec
 import pytest
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.outcomes import Completed, Failed, GivenUp, JobOutcome, Refused
 from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_council.callers import LEAST_ESTIMATE, Callers
+from paddleshunt_council.callers import MIN_ESTIMATE, Callers
 from paddleshunt_node.aio.httpserver import Request, Response
 from paddleshunt_node.aio.ports import Submission
 
@@ -35,32 +35,32 @@
     return {"spec": "text", "best_effort": True, "steps": [{**STEP, **step}]}
 
 
-def test_a_job_is_read() -> None:
-    read = Callers().read(request(body=job()), CATALOG)
-    assert isinstance(read, Submission)
-    assert read.queue.name == "short"
-    assert (read.job.key, read.job.spec, read.job.count) == (KEY, "text", 4)
-    assert read.job.need == Resources(500, 256, 0)
-    assert (read.job.estimate, read.job.deadline) == (0.9, 2.5)
+def test_job_is_decoded() -> None:
+    result = Callers().read(request(body=job()), CATALOG)
+    assert isinstance(result, Submission)
+    assert result.queue.name == "short"
+    assert (result.job.key, result.job.spec, result.job.count) == (KEY, "text", 4)
+    assert result.job.need == Resources(500, 256, 0)
+    assert (result.job.estimate, result.job.deadline) == (0.9, 2.5)
 
 
-def test_the_longest_prefix_wins() -> None:
-    read = Callers().read(request(path=f"/q/deep/{KEY}", body=job()), CATALOG)
-    assert isinstance(read, Submission)
-    assert read.queue.name == "long"
+def test_longest_prefix_selects_the_queue() -> None:
+    result = Callers().read(request(path=f"/q/deep/{KEY}", body=job()), CATALOG)
+    assert isinstance(result, Submission)
+    assert result.queue.name == "long"
 
 
-def test_where_tasks_may_run_is_read() -> None:
+def test_placement_constraints_are_decoded() -> None:
     body = job(requirements="a", affinity="r1-3", anti_affinity=2)
-    read = Callers().read(request(body=body), CATALOG)
-    assert isinstance(read, Submission)
-    assert (read.job.label, read.job.rack, read.job.spread) == ("a", "r1-3", 2)
+    result = Callers().read(request(body=body), CATALOG)
+    assert isinstance(result, Submission)
+    assert (result.job.label, result.job.rack, result.job.spread) == ("a", "r1-3", 2)
 
 
-def test_a_spread_or_an_estimate_below_zero_is_none() -> None:
-    read = Callers().read(request(body=job(anti_affinity=-2, estimated_ms=-900)), CATALOG)
-    assert isinstance(read, Submission)
-    assert (read.job.spread, read.job.estimate) == (0, LEAST_ESTIMATE)
+def test_negative_spread_and_estimate_count_as_zero() -> None:
+    result = Callers().read(request(body=job(anti_affinity=-2, estimated_ms=-900)), CATALOG)
+    assert isinstance(result, Submission)
+    assert (result.job.spread, result.job.estimate) == (0, MIN_ESTIMATE)
 
 
 @pytest.mark.parametrize(
@@ -96,10 +96,10 @@
         "method",
     ],
 )
-def test_a_request_that_is_no_job_is_answered(asked: Request, status: int) -> None:
-    read = Callers().read(asked, CATALOG)
-    assert isinstance(read, Response)
-    assert read.status == status
+def test_other_requests_get_a_response(asked: Request, status: int) -> None:
+    result = Callers().read(asked, CATALOG)
+    assert isinstance(result, Response)
+    assert result.status == status
 
 
 @pytest.mark.parametrize(
@@ -114,36 +114,38 @@
     ],
     ids=["completed", "failed", "refused", "refused-soon", "refused-here", "given-up"],
 )
-def test_outcomes_have_their_status(outcome: JobOutcome, status: int, retry: str | None) -> None:
+def test_outcome_status_and_retry_after(
+    outcome: JobOutcome, status: int, retry: str | None
+) -> None:
     answer = Callers().answer(outcome)
     assert answer.status == status
     assert dict(answer.headers).get("Retry-After") == retry
 
 
-def test_a_refusal_says_why() -> None:
+def test_refusal_has_its_reason() -> None:
     answer = Callers().answer(Refused("too_late", 1.0))
     assert msgspec.json.decode(answer.body) == {"reason": "too_late"}
 
 
-def raw(body: bytes, deadline: str = "2500") -> Request:
+def raw_request(body: bytes, deadline: str = "2500") -> Request:
     return Request("POST", f"/q/{KEY}", {"host": "a.example", "x-deadline-ms": deadline}, body)
 
 
-GOOD = msgspec.json.encode(job())
+VALID_BODY = msgspec.json.encode(job())
 
 
 @pytest.mark.parametrize(
     "asked",
     [
         request(body=job(cpu=10**19)),
-        raw(GOOD.replace(b'"cpu":500', b'"cpu":' + b"9" * 30)),
-        raw(GOOD.replace(b'"estimated_ms":900', b'"estimated_ms":' + b"9" * 400)),
-        raw(GOOD, "9" * 400),
-        raw(GOOD, "1_000"),
-        raw(GOOD.replace(b'"text"', b'"\xff\xfe"')),
-        raw(GOOD[:-1] + b',"more":' + b"[" * 100_000),
-        raw(GOOD[:-9]),
-        raw(b""),
+        raw_request(VALID_BODY.replace(b'"cpu":500', b'"cpu":' + b"9" * 30)),
+        raw_request(VALID_BODY.replace(b'"estimated_ms":900', b'"estimated_ms":' + b"9" * 400)),
+        raw_request(VALID_BODY, "9" * 400),
+        raw_request(VALID_BODY, "1_000"),
+        raw_request(VALID_BODY.replace(b'"text"', b'"\xff\xfe"')),
+        raw_request(VALID_BODY[:-1] + b',"more":' + b"[" * 100_000),
+        raw_request(VALID_BODY[:-9]),
+        raw_request(b""),
         request(body=job(affinity="r" * 5000)),
         request(body=job(mem_mb="256")),
     ],
@@ -161,15 +163,15 @@
         "other-type",
     ],
 )
-def test_a_request_that_can_not_be_read_is_refused(asked: Request) -> None:
-    read = Callers().read(asked, CATALOG)
-    assert isinstance(read, Response)
-    assert read.status == 400
+def test_invalid_request_is_refused(asked: Request) -> None:
+    result = Callers().read(asked, CATALOG)
+    assert isinstance(result, Response)
+    assert result.status == 400
 
 
-def test_a_refused_request_is_told_with_its_queue() -> None:
+def test_refused_request_is_reported_with_its_queue() -> None:
     refused: list[Refusal] = []
     callers = Callers(refused.append)
-    for asked in (raw(b"{"), raw(GOOD, "soon"), request(body=job(count=0))):
+    for asked in (raw_request(b"{"), raw_request(VALID_BODY, "soon"), request(body=job(count=0))):
         callers.read(asked, CATALOG)
     assert [(one.kind, one.sender) for one in refused] == 3 * [(InputKind.REQUEST, "short")]
--- a/testing/council/test_catalog.py
+++ b/testing/council/test_catalog.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, whole and in part unreadable."""
+"""Tests of decoding the operator's configuration, also with invalid parts."""
 
 import json
 
@@ -11,12 +11,12 @@
 from storescene import config, play
 
 
-def test_an_unreadable_catalog_says_why() -> None:
+def test_invalid_configuration_error_names_the_field() -> None:
     with pytest.raises(CatalogError, match="version"):
         read_catalog(b'{"routes": [], "services": []}')
 
 
-def test_an_unreadable_configuration_is_passed_over_with_its_reason() -> None:
+def test_invalid_configuration_is_refused_with_its_problem() -> None:
     refused: list[Refusal] = []
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
@@ -27,7 +27,7 @@
     play(scene, StoreStandIn(), refused.append)
 
 
-def configured(**fields: object) -> bytes:
+def changed_config(**fields: object) -> bytes:
     return json.dumps({**json.loads(config(9)), **fields}).encode()
 
 
@@ -36,17 +36,17 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid",
     [
         5,
         {},
-        route("odd", service=7),
-        route("odd", priority="high"),
-        route("odd", stretch=-1),
-        route("odd", target_latency_ms=-1),
-        route("odd", service=""),
-        route("odd", host="h" * 254),
-        route("odd", path_prefix="/" * 2001),
+        route("invalid", service=7),
+        route("invalid", priority="high"),
+        route("invalid", stretch=-1),
+        route("invalid", target_latency_ms=-1),
+        route("invalid", service=""),
+        route("invalid", host="h" * 254),
+        route("invalid", path_prefix="/" * 2001),
     ],
     ids=[
         "type",
@@ -60,17 +60,17 @@
         "long-prefix",
     ],
 )
-def test_a_route_that_can_not_be_read_takes_no_other_down(odd: object) -> None:
+def test_invalid_route_is_left_out(invalid: object) -> None:
     refused: list[Refusal] = []
-    catalog = read_catalog(configured(routes=[route("a"), odd, route("b")]), refused.append)
+    catalog = read_catalog(changed_config(routes=[route("a"), invalid, route("b")]), refused.append)
     assert (catalog.version, [queue.name for queue in catalog.queues]) == (9, ["a", "b"])
     assert [one.kind for one in refused] == [InputKind.ROUTE]
 
 
-def test_limits_that_can_not_be_read_leave_the_usual_ones() -> None:
+def test_invalid_limits_get_their_defaults() -> None:
     refused: list[Refusal] = []
     limits = {"max_body_bytes": -1, "max_header_bytes": 1000, "idle_timeout_ms": "long"}
-    catalog = read_catalog(configured(limits=limits), refused.append)
+    catalog = read_catalog(changed_config(limits=limits), refused.append)
     assert catalog.limits == RequestLimits(header_bytes=1000)
     assert [(one.kind, one.sender) for one in refused] == [
         (InputKind.CONFIGURATION, "limits.max_body_bytes"),
@@ -78,21 +78,21 @@
     ]
 
 
-def test_limits_of_another_type_leave_the_usual_ones() -> None:
+def test_limits_of_another_type_get_their_defaults() -> None:
     refused: list[Refusal] = []
-    assert read_catalog(configured(limits=[1000]), refused.append).limits == RequestLimits()
+    assert read_catalog(changed_config(limits=[1000]), refused.append).limits == RequestLimits()
     assert [(one.kind, one.sender) for one in refused] == [(InputKind.CONFIGURATION, "limits")]
 
 
-def test_a_route_may_have_any_host_of_dns_and_a_name_between_slashes() -> None:
-    odd = {"host": "h" * 253, "path_prefix": "/" + "n" * 200 + "/"}
-    queue = read_catalog(configured(routes=[route("a", **odd)])).queues[0]
-    assert (queue.host, queue.prefix) == (odd["host"], odd["path_prefix"])
+def test_route_with_the_longest_host_and_name_is_valid() -> None:
+    invalid = {"host": "h" * 253, "path_prefix": "/" + "n" * 200 + "/"}
+    queue = read_catalog(changed_config(routes=[route("a", **invalid)])).queues[0]
+    assert (queue.host, queue.prefix) == (invalid["host"], invalid["path_prefix"])
 
 
-def test_a_service_that_can_not_be_read_takes_no_other_down() -> None:
+def test_invalid_service_is_left_out() -> None:
     refused: list[Refusal] = []
-    catalog = read_catalog(configured(services=[5, {"name": "s"}]), refused.append)
+    catalog = read_catalog(changed_config(services=[5, {"name": "s"}]), refused.append)
     assert [service.name for service in catalog.services] == ["s"]
     assert [one.kind for one in refused] == [InputKind.CONFIGURATION]
 
@@ -100,19 +100,19 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        configured(version="9"),
-        configured(version=-9),
-        configured(version=10**30),
-        configured(version=None),
-        configured(routes={"a": 1}),
-        configured(routes=[5]),
+        changed_config(version="9"),
+        changed_config(version=-9),
+        changed_config(version=10**30),
+        changed_config(version=None),
+        changed_config(routes={"a": 1}),
+        changed_config(routes=[5]),
         config(9)[:-5],
         b"\xff\xfe",
         b"[" * 100_000,
     ],
     ids=["text", "negative", "huge", "none", "no-list", "no-route", "cut", "bytes", "deep"],
 )
-def test_a_configuration_that_can_not_be_read_leaves_the_one_in_force(raw: bytes) -> None:
+def test_invalid_configuration_does_not_block_a_later_one(raw: bytes) -> None:
     refused: list[Refusal] = []
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
@@ -122,13 +122,13 @@
         assert (await store.next_update()).catalog is None
         assert (refused[-1].kind, refused[-1].sender) == (InputKind.CONFIGURATION, "op/config")
         standin.put("op/config", config(10))
-        word = await store.next_update()
-        assert word.catalog is not None and word.catalog.version == 10
+        update = await store.next_update()
+        assert update.catalog is not None and update.catalog.version == 10
 
     play(scene, StoreStandIn(), refused.append)
 
 
-def test_a_configuration_that_goes_back_is_refused() -> None:
+def test_older_configuration_is_refused() -> None:
     refused: list[Refusal] = []
 
     async def scene(store: Store, standin: StoreStandIn) -> None:
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -1,4 +1,4 @@
-"""A runner's heartbeats."""
+"""Tests of decoding a runner's heartbeats and deregistration."""
 
 import json
 
@@ -11,7 +11,7 @@
 from paddleshunt_node.aio.httpserver import Request, Response
 from paddleshunt_node.aio.ports import RunnerDeregistration
 
-BEAT = (
+HEARTBEAT_BODY = (
     b'{"service":"s","address":"10.0.0.9:8080","zone":"hall","state":"draining","remaining_ms":1500,'
     b'"capacity":{"cpu":16000,"mem_mb":32768,"gpu":1},"labels":["a"],"sequence":4,'
     b'"cold_remaining_ms":2500}'
@@ -22,8 +22,8 @@
     return Registration().read(Request(method, path, {}, body))
 
 
-def test_a_heartbeat_is_an_account() -> None:
-    assert read("/paddleshunt/Instances.Heartbeat/i-7", BEAT) == RunnerStatus(
+def test_heartbeat_is_decoded_to_a_status() -> None:
+    assert read("/paddleshunt/Instances.Heartbeat/i-7", HEARTBEAT_BODY) == RunnerStatus(
         RunnerIncarnation("i-7"),
         "s",
         "hall",
@@ -40,35 +40,35 @@
 @pytest.mark.parametrize(
     ("body", "born"), [(b"", 0), (b"{}", 0), (b'{"born":17}', 17)], ids=["empty", "untold", "told"]
 )
-def test_a_runner_says_that_it_ends(body: bytes, born: int) -> None:
-    ends = read("/paddleshunt/Instances.Deregister/i-7", body)
-    assert ends == RunnerDeregistration(RunnerIncarnation("i-7", born))
+def test_deregistration_is_decoded(body: bytes, born: int) -> None:
+    deregistration = read("/paddleshunt/Instances.Deregister/i-7", body)
+    assert deregistration == RunnerDeregistration(RunnerIncarnation("i-7", born))
 
 
-ODD_STARTS = [b"null", b'"17"', b"1.5", b"-1", b"true", b"[17]", b"9" * 30]
+INVALID_START_TIMES = [b"null", b'"17"', b"1.5", b"-1", b"true", b"[17]", b"9" * 30]
 
 
-@pytest.mark.parametrize("born", ODD_STARTS, ids=bytes.decode)
+@pytest.mark.parametrize("born", INVALID_START_TIMES, ids=bytes.decode)
 @pytest.mark.parametrize("path", [HEARTBEAT, DEREGISTER])
-def test_a_word_whose_start_is_odd_is_refused(path: str, born: bytes) -> None:
-    body = BEAT.replace(b'"sequence":4', b'"sequence":4,"born":' + born)
+def test_invalid_start_time_is_refused(path: str, born: bytes) -> None:
+    body = HEARTBEAT_BODY.replace(b'"sequence":4', b'"sequence":4,"born":' + born)
     answer = read(path + "i-7", body)
     assert isinstance(answer, Response)
     assert answer.status == 400
 
 
-def test_a_heartbeat_names_its_life() -> None:
-    account = read(HEARTBEAT + "i-7", beat(born=17))
-    assert isinstance(account, RunnerStatus)
-    assert account.runner == RunnerIncarnation("i-7", 17)
+def test_heartbeat_has_the_start_time() -> None:
+    runner_status = read(HEARTBEAT + "i-7", heartbeat_body(born=17))
+    assert isinstance(runner_status, RunnerStatus)
+    assert runner_status.runner == RunnerIncarnation("i-7", 17)
 
 
 @pytest.mark.parametrize(
     ("path", "body", "method", "status"),
     [
         ("/paddleshunt/Instances.Heartbeat/i-7", b"{}", "POST", 400),
-        ("/paddleshunt/Instances.Heartbeat/i-7", BEAT, "GET", 405),
-        ("/elsewhere", BEAT, "POST", 404),
+        ("/paddleshunt/Instances.Heartbeat/i-7", HEARTBEAT_BODY, "GET", 405),
+        ("/elsewhere", HEARTBEAT_BODY, "POST", 404),
     ],
     ids=["malformed", "method", "path"],
 )
@@ -78,48 +78,48 @@
     assert answer.status == status
 
 
-def beat(**fields: object) -> bytes:
+def heartbeat_body(**fields: object) -> bytes:
     """Return a heartbeat with some fields changed, or left out (None)."""
-    told = {**json.loads(BEAT), **fields}
-    return json.dumps({name: value for name, value in told.items() if value is not None}).encode()
-
-
-ROOM = {"cpu": 16000, "mem_mb": 32768, "gpu": 1}
-BAD_BEATS = {
-    "unnamed-state": beat(state="warming"),
-    "no-state": beat(state=None),
-    "no-capacity": beat(capacity=None),
-    "empty-capacity": beat(capacity={}),
-    "no-memory": beat(capacity={"cpu": 1}),
-    "negative-room": beat(capacity=ROOM | {"cpu": -5}),
-    "huge-room": beat(capacity=ROOM | {"cpu": 10**19}),
-    "huge-memory": beat(capacity=ROOM | {"mem_mb": 10**40}),
-    "room-of-another-type": beat(capacity=[16000, 32768, 1]),
-    "empty-service": beat(service=""),
-    "no-service": beat(service=None),
-    "long-service": beat(service="s" * 5000),
-    "service-of-another-type": beat(service=["s"]),
-    "empty-zone": beat(zone=""),
-    "no-zone": beat(zone=None),
-    "no-sequence": beat(sequence=None),
-    "sequence-zero": beat(sequence=0),
-    "negative-sequence": beat(sequence=-4),
-    "huge-sequence": beat(sequence=10**30),
-    "cut": BEAT[:-20],
+    body = {**json.loads(HEARTBEAT_BODY), **fields}
+    return json.dumps({name: value for name, value in body.items() if value is not None}).encode()
+
+
+CAPACITY = {"cpu": 16000, "mem_mb": 32768, "gpu": 1}
+INVALID_HEARTBEATS = {
+    "unnamed-state": heartbeat_body(state="warming"),
+    "no-state": heartbeat_body(state=None),
+    "no-capacity": heartbeat_body(capacity=None),
+    "empty-capacity": heartbeat_body(capacity={}),
+    "no-memory": heartbeat_body(capacity={"cpu": 1}),
+    "negative-capacity": heartbeat_body(capacity=CAPACITY | {"cpu": -5}),
+    "huge-capacity": heartbeat_body(capacity=CAPACITY | {"cpu": 10**19}),
+    "huge-memory": heartbeat_body(capacity=CAPACITY | {"mem_mb": 10**40}),
+    "capacity-of-another-type": heartbeat_body(capacity=[16000, 32768, 1]),
+    "empty-service": heartbeat_body(service=""),
+    "no-service": heartbeat_body(service=None),
+    "long-service": heartbeat_body(service="s" * 5000),
+    "service-of-another-type": heartbeat_body(service=["s"]),
+    "empty-zone": heartbeat_body(zone=""),
+    "no-zone": heartbeat_body(zone=None),
+    "no-sequence": heartbeat_body(sequence=None),
+    "sequence-zero": heartbeat_body(sequence=0),
+    "negative-sequence": heartbeat_body(sequence=-4),
+    "huge-sequence": heartbeat_body(sequence=10**30),
+    "cut": HEARTBEAT_BODY[:-20],
     "no-bytes": b"",
-    "no-text": BEAT.replace(b'"s"', b'"\xff\xfe"'),
-    "deep": BEAT[:-1] + b',"more":' + b"[" * 100_000,
+    "no-text": HEARTBEAT_BODY.replace(b'"s"', b'"\xff\xfe"'),
+    "deep": HEARTBEAT_BODY[:-1] + b',"more":' + b"[" * 100_000,
 }
 
 
-@pytest.mark.parametrize("body", BAD_BEATS.values(), ids=BAD_BEATS.keys())
-def test_a_word_that_names_no_runner_to_use_is_refused(body: bytes) -> None:
+@pytest.mark.parametrize("body", INVALID_HEARTBEATS.values(), ids=INVALID_HEARTBEATS.keys())
+def test_invalid_required_field_is_refused(body: bytes) -> None:
     answer = read(HEARTBEAT + "i-7", body)
     assert isinstance(answer, Response)
     assert answer.status == 400
 
 
-ODD_FIELDS: dict[str, tuple[str, object]] = {
+INVALID_OPTIONAL_FIELDS: dict[str, tuple[str, object]] = {
     "negative-remaining": ("remaining_ms", -1),
     "huge-remaining": ("remaining_ms", 10**400),
     "long-remaining": ("remaining_ms", 8 * 24 * 3600 * 1000),
@@ -132,25 +132,27 @@
 }
 
 
-@pytest.mark.parametrize(("field", "value"), ODD_FIELDS.values(), ids=ODD_FIELDS.keys())
-def test_an_odd_field_that_may_be_left_out_is_refused_alone(field: str, value: object) -> None:
+@pytest.mark.parametrize(
+    ("field", "value"), INVALID_OPTIONAL_FIELDS.values(), ids=INVALID_OPTIONAL_FIELDS.keys()
+)
+def test_invalid_optional_field_is_refused_alone(field: str, value: object) -> None:
     refused: list[Refusal] = []
-    request = Request("POST", HEARTBEAT + "i-7", {}, beat(**{field: value}))
-    account = Registration(refused.append).read(request)
-    assert account == read(HEARTBEAT + "i-7", beat(**{field: None}))
-    assert isinstance(account, RunnerStatus) and account.leaving
+    request = Request("POST", HEARTBEAT + "i-7", {}, heartbeat_body(**{field: value}))
+    runner_status = Registration(refused.append).read(request)
+    assert runner_status == read(HEARTBEAT + "i-7", heartbeat_body(**{field: None}))
+    assert isinstance(runner_status, RunnerStatus) and runner_status.leaving
     assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
 
 
-def test_fields_that_may_be_added_later_are_passed_over() -> None:
-    account = read(HEARTBEAT + "i-7", beat(tomorrow={"cpu": [1, None]}, slots="8"))
-    assert account == read(HEARTBEAT + "i-7", BEAT)
+def test_unknown_fields_are_ignored() -> None:
+    runner_status = read(HEARTBEAT + "i-7", heartbeat_body(tomorrow={"cpu": [1, None]}, slots="8"))
+    assert runner_status == read(HEARTBEAT + "i-7", HEARTBEAT_BODY)
 
 
-def test_a_runner_may_say_that_it_has_no_room() -> None:
-    account = read(HEARTBEAT + "i-7", beat(capacity={"cpu": 0, "mem_mb": 0}))
-    assert isinstance(account, RunnerStatus)
-    assert account.capacity == Resources()
+def test_runner_may_have_no_capacity() -> None:
+    runner_status = read(HEARTBEAT + "i-7", heartbeat_body(capacity={"cpu": 0, "mem_mb": 0}))
+    assert isinstance(runner_status, RunnerStatus)
+    assert runner_status.capacity == Resources()
 
 
 @pytest.mark.parametrize("path", [HEARTBEAT, DEREGISTER], ids=["heartbeat", "end"])
@@ -159,15 +161,15 @@
     ["", "i" * 5000, "i-7/x", "i\x857", "i\xe97", "%0d%0aX: y"],
     ids=["empty", "long", "path", "unprintable", "no-ascii", "encoded"],
 )
-def test_an_id_that_no_header_can_carry_is_refused(path: str, runner: str) -> None:
-    answer = read(path + runner, BEAT)
+def test_invalid_runner_id_is_refused(path: str, runner: str) -> None:
+    answer = read(path + runner, HEARTBEAT_BODY)
     assert isinstance(answer, Response)
     assert answer.status == 400
 
 
-def test_a_refusal_names_the_runner_and_what_is_wrong() -> None:
+def test_refusal_has_the_runner_and_the_problem() -> None:
     refused: list[Refusal] = []
-    request = Request("POST", HEARTBEAT + "i-7", {}, beat(state="warming"))
+    request = Request("POST", HEARTBEAT + "i-7", {}, heartbeat_body(state="warming"))
     Registration(refused.append).read(request)
     assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
     assert "warming" in refused[0].problem and "state" in refused[0].problem
