--- a/testing/council/test_early.py
+++ b/testing/council/test_early.py
@@ -1,4 +1,4 @@
-"""A signal that comes while the program's libraries are imported doesn't end it."""
+"""A reload signal during the imports must not end the process."""
 
 import subprocess
 import sys
@@ -13,7 +13,7 @@
 LIBRARY = sys.argv.pop(1)
 
 class Signaller:
-    '''Sends this process a signal when a library of the program is looked for.'''
+    '''Signals this process when the library is imported.'''
 
     def find_spec(self, name, path=None, target=None):
         if name == LIBRARY:
@@ -29,7 +29,9 @@
 
 @pytest.mark.parametrize("role", ["entry", "target"])
 @pytest.mark.parametrize("library", ["click", "msgspec"])
-def test_a_signal_among_the_imports_is_outlived(role: str, library: str, tmp_path: Path) -> None:
+def test_signal_during_imports_does_not_end_the_process(
+    role: str, library: str, tmp_path: Path
+) -> None:
     file = tmp_path / "local.toml"
     file.write_text(filled(role))
     command = [sys.executable, "-c", PROGRAM, library, role, "--check", "--settings", str(file)]
--- a/testing/council/test_starting.py
+++ b/testing/council/test_starting.py
@@ -1,4 +1,4 @@
-"""A process that starts: whom it keeps waiting, and whom it turns away."""
+"""Tests of a starting process: when it listens, and which entries a target connects to."""
 
 import asyncio
 import socket
@@ -16,42 +16,42 @@
 from paddleshunt_platform.standins.ports import free_port
 from templates import filled
 
-LISTENS = {"entry": "listen.frontend", "target": "listen.control"}
+LISTEN_KEYS = {"entry": "listen.frontend", "target": "listen.control"}
 
 
 @pytest.fixture
-def reached(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[bool]]:
-    """Whether an address could be reached when the rest of the program was about to run."""
-    found: list[bool] = []
+def connected(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[bool]]:
+    """Whether the process accepted a connection each time that `processes.run` was called."""
+    results: list[bool] = []
     fake = ModuleType("paddleshunt_council.processes")
 
     def run(settings: object, file: Path, *rest: object) -> None:
         listen = settings.listen  # type: ignore[attr-defined]
         host, _, port = (listen.callers or listen.runner).rpartition(":")
         with socket.socket() as client:
-            found.append(client.connect_ex((host, int(port))) == 0)
+            results.append(client.connect_ex((host, int(port))) == 0)
 
     fake.run = run  # type: ignore[attr-defined]
     monkeypatch.setitem(sys.modules, fake.__name__, fake)
-    yield found
+    yield results
 
 
 @pytest.mark.parametrize("role", ["entry", "target"])
-def test_it_listens_before_the_rest_of_the_program_is_imported(
-    role: str, tmp_path: Path, reached: list[bool]
+def test_process_listens_before_most_imports(
+    role: str, tmp_path: Path, connected: list[bool]
 ) -> None:
-    """All hosts are back from a loss of power; who calls meanwhile would be turned away."""
+    """Callers that connect during the imports, such as after a power loss, must not be rejected."""
     file = tmp_path / "local.toml"
     peers = {"internal_ports.0": free_port()}
-    file.write_text(filled(role, **{LISTENS[role]: f"127.0.0.1:{free_port()}"}, **peers))
+    file.write_text(filled(role, **{LISTEN_KEYS[role]: f"127.0.0.1:{free_port()}"}, **peers))
     assert starting.start(role, file) == 0
-    assert reached == [True]
+    assert connected == [True]
 
 
-def test_a_target_whose_seeds_do_not_answer_soon_asks_the_store_for_entries(
+def test_target_without_reachable_seeds_reads_entries_from_the_store(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All hosts are back from a loss of power, and the seeds are not the first."""
+    """After a power loss the seeds may be slower to start than this target."""
     monkeypatch.setattr(targetservice, "STORE_LOOKUP_SECONDS", 1000.0)
 
     async def scene(system: System) -> None:
@@ -63,8 +63,8 @@
     play(scene, system)
 
 
-def test_a_target_dials_only_some_of_the_entries_that_the_store_knows() -> None:
-    """All targets of a large fleet ask at once; each entry is to meet its share of them."""
+def test_target_connects_to_a_limited_number_of_entries() -> None:
+    """All targets of a large fleet may ask at once; no entry may get all their connections."""
     announced = [EntryAddress(f"e{n}", f"127.0.0.1:{n}", "life") for n in range(1, 40)]
 
     async def entries() -> list[EntryAddress]:
@@ -73,8 +73,8 @@
     async def scene(system: System) -> None:
         system.target._store.entries = entries  # type: ignore[method-assign]
         await system.target._dial_stored_entries()
-        dialled = system.target._dialer._wanted.keys() - {system.peers}
-        assert len(dialled) == MAX_SESSIONS
-        assert dialled <= {entry.address for entry in announced}
+        dialed = system.target._dialer._wanted.keys() - {system.peers}
+        assert len(dialed) == MAX_SESSIONS
+        assert dialed <= {entry.address for entry in announced}
 
     play(scene)
