--- a/packages/paddleshunt-cli/src/paddleshunt_cli/table.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/table.py
@@ -11,7 +11,7 @@
 from paddleshunt_platform.tableedit import (
     Applied,
     NotApplied,
-    NotKnown,
+    OutcomeUnknown,
     apply_edit,
     read_table,
 )
@@ -97,7 +97,7 @@
         case NotApplied(reason):
             click.echo(f"not applied: {reason}", err=True)
             raise SystemExit(NOT_APPLIED)
-        case NotKnown(name, reason):
+        case OutcomeUnknown(name, reason):
             click.echo(f"not known whether it was applied (edit {name}): {reason}", err=True)
             raise SystemExit(NOT_KNOWN)
 
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
@@ -51,7 +51,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class NotKnown:
+class OutcomeUnknown:
     """The store did not say whether the edit took effect, and could not be asked again."""
 
     edit: str
@@ -67,7 +67,7 @@
     version: int
 
 
-EditOutcome = Applied | EditConflict | NotApplied | NotKnown
+EditOutcome = Applied | EditConflict | NotApplied | OutcomeUnknown
 
 
 def read_table(store: Store) -> StoredTable | NotApplied:
@@ -146,4 +146,4 @@
                     base, found.document.revision, changes(rows, found.document.rows)
                 )
         sleep(READ_BACK_SECONDS)
-    return NotKnown(edit, reason)
+    return OutcomeUnknown(edit, reason)
--- a/testing/platform/test_tableedit.py
+++ b/testing/platform/test_tableedit.py
@@ -2,7 +2,13 @@
 from fakestore import FakeStore
 from paddleshunt_core.table import EMPTY_TABLE, EditConflict, Row, revise
 from paddleshunt_platform.store import Unanswered, Unreachable, Value
-from paddleshunt_platform.tableedit import Applied, NotApplied, NotKnown, apply_edit, read_table
+from paddleshunt_platform.tableedit import (
+    Applied,
+    NotApplied,
+    OutcomeUnknown,
+    apply_edit,
+    read_table,
+)
 
 HALL = Row("results", "hall", 1, 8, 8)
 DEPOT = Row("results", "depot", 1, 8, 8)
@@ -56,7 +62,7 @@
 
     silent = Silent()
     silent.values = store.values
-    assert edit(silent, [DEPOT], 1, "mine") == NotKnown("mine", "lost")
+    assert edit(silent, [DEPOT], 1, "mine") == OutcomeUnknown("mine", "lost")
 
 
 def test_store_down_is_not_applied(store: FakeStore) -> None:
--- a/testing/scenario.py
+++ b/testing/scenario.py
@@ -17,7 +17,7 @@
 from paddleshunt_core.members import HostState
 from paddleshunt_core.messages import Submit
 from paddleshunt_core.table import EditConflict, Row
-from paddleshunt_platform.tableedit import Applied, NotApplied, NotKnown
+from paddleshunt_platform.tableedit import Applied, NotApplied, OutcomeUnknown
 
 
 class _Step(msgspec.Struct, frozen=True, tag_field="do", forbid_unknown_fields=True):
@@ -343,7 +343,7 @@
         rows = [self._edited(row) if row.site == self.site else row for row in fleet.rows]
         outcome = fleet.edit(rows, self.base)
         names = {Applied: "applied", EditConflict: "conflict"}
-        names |= {NotApplied: "not_applied", NotKnown: "not_known"}
+        names |= {NotApplied: "not_applied", OutcomeUnknown: "not_known"}
         assert names[type(outcome)] == self.outcome, outcome
         if isinstance(outcome, Applied):
             fleet.rows = rows
