--- a/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
@@ -15,12 +15,12 @@
 
 from paddleshunt_platform.store import (
     ABSENT,
-    Changed,
     Listing,
     StoreError,
     Unanswered,
     Unreachable,
     Value,
+    VersionConflict,
     Written,
 )
 
@@ -108,7 +108,7 @@
 
     def compare_and_swap(
         self, key: str, data: bytes, version: int
-    ) -> Written | Changed | StoreError:
+    ) -> Written | VersionConflict | StoreError:
         """Write `data` if the key still has `version` (`ABSENT`: if it isn't there)."""
         name = _b64(key)
         body = {
@@ -123,7 +123,7 @@
             return Written()
         ranges = [r.response_range for r in done.responses if r.response_range is not None]
         kvs = ranges[0].kvs if ranges else []
-        return Changed(_value(kvs[0]) if kvs else None)
+        return VersionConflict(_value(kvs[0]) if kvs else None)
 
     def watch(self, prefix: str, after: int) -> Iterator[Value | StoreError]:
         """Yield values written under `prefix` after a revision; the last item is an error."""
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
@@ -53,7 +53,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Changed:
+class VersionConflict:
     """The write did not take effect, as the key had another version; `found` is what is there."""
 
     found: Value | None
@@ -89,7 +89,7 @@
 
     def compare_and_swap(
         self, key: str, data: bytes, version: int
-    ) -> Written | Changed | StoreError:
+    ) -> Written | VersionConflict | StoreError:
         """Write `data` if the key still has `version` (`ABSENT`: if it isn't there)."""
 
     def watch(self, prefix: str, after: int) -> Iterator[Value | StoreError]:
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
@@ -18,11 +18,11 @@
 from paddleshunt_platform.store import (
     ABSENT,
     TABLE_KEY,
-    Changed,
     Store,
     Unanswered,
     Unreachable,
     Value,
+    VersionConflict,
     Written,
 )
 
@@ -108,7 +108,7 @@
     match done:
         case Written():
             return Applied(following)
-        case Changed():
+        case VersionConflict():
             return _conflict(store, rows, base)
         case Unreachable(reason):
             return NotApplied(f"the store can't be reached: {reason}")
--- a/testing/fakestore.py
+++ b/testing/fakestore.py
@@ -4,12 +4,12 @@
 
 from paddleshunt_platform.store import (
     ABSENT,
-    Changed,
     Listing,
     StoreError,
     Unanswered,
     Unreachable,
     Value,
+    VersionConflict,
     Written,
 )
 
@@ -39,7 +39,7 @@
             return Unreachable("down")
         found = self.values.get(key)
         if (found.version if found else ABSENT) != version:
-            return Changed(found)
+            return VersionConflict(found)
         self.revision += 1
         self.values[key] = Value(key, data, self.revision)
         self.written(self.values[key])
--- a/testing/platform/test_etcd.py
+++ b/testing/platform/test_etcd.py
@@ -6,11 +6,11 @@
 from paddleshunt_platform.standins.store import StoreStandIn
 from paddleshunt_platform.store import (
     ABSENT,
-    Changed,
     Listing,
     Unanswered,
     Unreachable,
     Value,
+    VersionConflict,
     Written,
 )
 
@@ -32,7 +32,7 @@
     found = store.get("p/a")
     assert isinstance(found, Value)
     assert found.data == b"one"
-    assert store.compare_and_swap("p/a", b"two", ABSENT) == Changed(found)
+    assert store.compare_and_swap("p/a", b"two", ABSENT) == VersionConflict(found)
     assert store.compare_and_swap("p/a", b"two", found.version) == Written()
 
 
