--- a/packages/paddleshunt-node/src/paddleshunt_node/platformthreads.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/platformthreads.py
@@ -13,7 +13,7 @@
 from paddleshunt_platform.store import (
     ABSENT,
     ALLOTMENT_PREFIX,
-    PREFIX,
+    KEY_PREFIX,
     TABLE_KEY,
     Listing,
     Store,
@@ -67,14 +67,14 @@
 
     def _follow(self) -> None:
         while not self._stopped.is_set():
-            listing = self._store.list(PREFIX)
+            listing = self._store.list(KEY_PREFIX)
             if not isinstance(listing, Listing):
                 self._note_reachable(False, listing.reason)
                 self._stopped.wait(RETRY_SECONDS)
                 continue
             self._note_reachable(True, "")
             self._take_all(listing)
-            for item in self._store.watch(PREFIX, listing.revision):
+            for item in self._store.watch(KEY_PREFIX, listing.revision):
                 if isinstance(item, Value):
                     self._take(item)
 
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
@@ -14,7 +14,7 @@
 ALLOTMENT_PREFIX = "paddleshunt/allotments/"
 """Prefix of the allotment documents (JSON), one key a row."""
 
-PREFIX = "paddleshunt/"
+KEY_PREFIX = "paddleshunt/"
 """Prefix of every key that the system uses."""
 
 ABSENT = 0
