--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
@@ -113,7 +113,7 @@
         with self._changed:
             self._saved = _copy(self._state)
 
-    def go_back(self) -> None:
+    def restore(self) -> None:
         """Return to the remembered state, as after a restore from an old backup."""
         with self._changed:
             self._state = _copy(self._saved)
--- a/testing/fakestore.py
+++ b/testing/fakestore.py
@@ -60,5 +60,5 @@
     def save(self) -> None:
         self._saved = dict(self.values)
 
-    def go_back(self) -> None:
+    def restore(self) -> None:
         self.values = dict(self._saved)
--- a/testing/platform/test_etcd.py
+++ b/testing/platform/test_etcd.py
@@ -87,7 +87,7 @@
 def test_service_that_went_back(store: EtcdStore, service: StoreStandIn) -> None:
     service.save()
     store.compare_and_swap("p/a", b"one", ABSENT)
-    service.go_back()
+    service.restore()
     assert store.get("p/a") is None
 
 
--- a/testing/scenario.py
+++ b/testing/scenario.py
@@ -320,7 +320,7 @@
             case "save":
                 fleet.store.save()
             case "go_back":
-                fleet.store.go_back()
+                fleet.store.restore()
                 fleet.store_up()
             case "lose_answer":
                 fleet.store.lose_answers += 1
