--- a/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
@@ -141,7 +141,7 @@
     )
 
 
-def seed_peers(settings: LeasedFile) -> set[str]:
+def seed_addresses(settings: LeasedFile) -> set[str]:
     """Return the addresses at which seeds listen for peers."""
     hosts = [seed.rpartition(":")[0] for seed in settings.peers.seeds]
     return {f"{host}:{settings.peers.port}" for host in hosts}
