--- a/packages/paddleshunt-platform/src/paddleshunt_platform/__init__.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform: its key-value service and host list, the table's file and settings."""
+"""Clients of the platform's key-value service and host list, the table's file and the settings."""
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
@@ -1,8 +1,8 @@
-"""A client of the key-value service over the etcd v3 JSON gateway.
+"""Client of the key-value service over the etcd v3 JSON gateway.
 
-Source of the protocol: the published etcd API reference, v3 gRPC gateway: `kv/range`, `kv/txn`,
-`watch`, `lease/grant` and `lease/keepalive`, with keys and values in base64 and 64-bit numbers as
-decimal strings. Nothing is retried here; the callers decide what a lost answer means.
+It uses `kv/range`, `kv/txn`, `watch`, `lease/grant` and `lease/keepalive` of the etcd API reference
+(v3 gRPC gateway), with keys and values in base64 and 64-bit numbers as decimal strings. Calls are
+not retried; the callers decide how to handle a lost answer.
 """
 
 import base64
@@ -28,11 +28,11 @@
 """Seconds a call may take."""
 
 WATCH_TIMEOUT = 30.0
-"""Seconds without news after which a watch ends, so that a dead one is noticed."""
+"""Seconds without data after which a watch ends, so that a broken connection is noticed."""
 
-_OK = 200
+_STATUS_OK = 200
 
-_T = TypeVar("_T")
+_Response = TypeVar("_Response")
 
 
 class _KeyValue(msgspec.Struct):
@@ -85,7 +85,7 @@
 
 @final
 class EtcdStore:
-    """A store at `url`; safe to share between threads."""
+    """Client of the store at `url`; safe to share between threads."""
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
@@ -110,11 +110,11 @@
         self, key: str, data: bytes, version: int
     ) -> Written | VersionConflict | StoreError:
         """Write `data` if the key still has `version` (`ABSENT`: if it isn't there)."""
-        name = _b64(key)
+        encoded_key = _b64(key)
         body = {
-            "compare": [_compare(name, version)],
-            "success": [{"requestPut": {"key": name, "value": _b64(data)}}],
-            "failure": [{"requestRange": {"key": name}}],
+            "compare": [_compare(encoded_key, version)],
+            "success": [{"requestPut": {"key": encoded_key, "value": _b64(data)}}],
+            "failure": [{"requestRange": {"key": encoded_key}}],
         }
         done = self._call("kv/txn", body, _Txn)
         if not isinstance(done, _Txn):
@@ -139,26 +139,26 @@
                 "POST", f"{self._url}/v3/watch", body=body, preload_content=False, timeout=timeout
             )
             try:
-                for line in _lines(response):
-                    yield from _watched(line)
+                for line in _read_lines(response):
+                    yield from _written_values(line)
             finally:
                 response.close()
         except (HTTPError, msgspec.MsgspecError, OSError) as error:
             yield Unanswered(str(error))
             return
-        yield Unanswered("the watch ended")
+        yield Unanswered("the service closed the watch")
 
     def grant_lease(self, seconds: int) -> int | StoreError:
-        """Return the number of a new lease."""
+        """Return the id of a new lease."""
         granted = self._call("lease/grant", {"TTL": str(seconds), "ID": "0"}, _Lease)
         return int(granted.ID) if isinstance(granted, _Lease) else granted
 
     def keep_lease(self, lease: int) -> bool | StoreError:
-        """Renew a lease; return False if it has lapsed."""
+        """Renew a lease. Return False if it has expired."""
         kept = self._call("lease/keepalive", {"ID": str(lease)}, _LeaseLine)
         return int(kept.result.TTL) > 0 if isinstance(kept, _LeaseLine) else kept
 
-    def _call(self, path: str, body: object, kind: type[_T]) -> _T | StoreError:
+    def _call(self, path: str, body: object, kind: type[_Response]) -> _Response | StoreError:
         raw = msgspec.json.encode(body)
         timeout = urllib3.Timeout(connect=CALL_TIMEOUT, read=CALL_TIMEOUT)
         try:
@@ -171,12 +171,12 @@
             return Unanswered(str(error))
         except (HTTPError, OSError) as error:
             return Unanswered(str(error))
-        if response.status != _OK:
+        if response.status != _STATUS_OK:
             return Unanswered(f"status {response.status}")
         try:
             return msgspec.json.decode(response.data, type=kind)
         except msgspec.MsgspecError as error:
-            return Unanswered(f"answer not understood: {error}")
+            return Unanswered(f"invalid answer: {error}")
 
 
 def _b64(text: str | bytes) -> str:
@@ -185,16 +185,16 @@
 
 
 def _range_end(prefix: str) -> bytes:
-    """Return the first key after all that start with `prefix`."""
+    """Return the first key after those that start with `prefix`."""
     raw = bytearray(prefix.encode())
     raw[-1] += 1
     return bytes(raw)
 
 
-def _compare(name: str, version: int) -> dict[str, str]:
+def _compare(encoded_key: str, version: int) -> dict[str, str]:
     if version == ABSENT:
-        return {"key": name, "target": "VERSION", "result": "EQUAL", "version": "0"}
-    return {"key": name, "target": "MOD", "result": "EQUAL", "mod_revision": str(version)}
+        return {"key": encoded_key, "target": "VERSION", "result": "EQUAL", "version": "0"}
+    return {"key": encoded_key, "target": "MOD", "result": "EQUAL", "mod_revision": str(version)}
 
 
 def _value(kv: _KeyValue) -> Value:
@@ -202,18 +202,18 @@
     return Value(key, base64.b64decode(kv.value), int(kv.mod_revision))
 
 
-def _lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield the stream's lines as they come."""
-    held = b""
+def _read_lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+    """Yield the stream's non-empty lines as they arrive."""
+    incomplete = b""
     while True:
         chunk = response.read1(65536)
         if not chunk:
             return
-        *whole, held = (held + chunk).split(b"\n")
-        yield from (line for line in whole if line.strip())
+        *complete_lines, incomplete = (incomplete + chunk).split(b"\n")
+        yield from (line for line in complete_lines if line.strip())
 
 
-def _watched(line: bytes) -> Iterator[Value]:
+def _written_values(line: bytes) -> Iterator[Value]:
     result = msgspec.json.decode(line, type=_WatchLine).result
     for event in result.events:
         if event.type != "DELETE":
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/hosts.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/hosts.py
@@ -1,6 +1,6 @@
-"""A client of the platform's list of hosts: HTTP GET of a JSON object with a list `hosts`.
+"""Client of the platform's list of hosts: HTTP GET of a JSON object with a list `hosts`.
 
-The list lags: a host may be gone before the list says so, and new before it is listed.
+The list lags: a host that is gone may still be listed, and a new one not yet.
 """
 
 from dataclasses import dataclass
@@ -14,13 +14,13 @@
 CALL_TIMEOUT = 3.0
 """Seconds a call may take."""
 
-_OK = 200
+_STATUS_OK = 200
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class HostsError:
-    """The list could not be had."""
+    """The list could not be fetched."""
 
     reason: str
 
@@ -31,21 +31,21 @@
 
 @final
 class HostList:
-    """The platform's list at `url`."""
+    """Client of the list at `url`."""
 
     def __init__(self, url: str) -> None:
         self._url = url
         self._pool = urllib3.PoolManager(retries=False, maxsize=1)
 
     def fetch(self) -> list[Host] | HostsError:
-        """Return the hosts as the platform lists them now."""
+        """Return the hosts that the platform lists now."""
         try:
             response = self._pool.request("GET", self._url, timeout=CALL_TIMEOUT)
         except (HTTPError, OSError) as error:
             return HostsError(str(error))
-        if response.status != _OK:
+        if response.status != _STATUS_OK:
             return HostsError(f"status {response.status}")
         try:
             return msgspec.json.decode(response.data, type=_HostList).hosts
         except msgspec.MsgspecError as error:
-            return HostsError(f"answer not understood: {error}")
+            return HostsError(f"invalid answer: {error}")
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
@@ -1,4 +1,4 @@
-"""Settings of the processes for leased jobs: a TOML file, checked whole."""
+"""Settings of the processes for leased jobs, validated from a TOML file."""
 
 from pathlib import Path
 from typing import Annotated, Literal, final
@@ -28,7 +28,7 @@
 
 @final
 class ProcessSettings(Section, frozen=True):
-    """The process: its name, where it stands, and the address its peers know it by."""
+    """The process: its name, its data hall and its role."""
 
     name: Name
     hall: Name
@@ -37,7 +37,7 @@
 
 @final
 class ListenSettings(Section, frozen=True):
-    """Where the process listens. `callers` and `ready`: entries; `runner`: targets."""
+    """Addresses to listen on: `callers` and `ready` for entries, `runner` for targets."""
 
     peers: Address
     metrics: Address
@@ -48,7 +48,7 @@
 
 @final
 class PeerSettings(Section, frozen=True):
-    """Hosts on which entries may be met, and the port they listen on for peers."""
+    """Hosts that may have entries, and the port on which these listen for peers."""
 
     seeds: tuple[Address, ...] = ()
     port: Annotated[int, Meta(gt=0, lt=65536)] = 7720
@@ -63,7 +63,7 @@
 
 @final
 class StoreSettings(Section, frozen=True):
-    """The platform's store. `least_lease_ms` is the shortest lease that it grants."""
+    """The platform's store; `least_lease_ms` is the shortest lease that it grants."""
 
     address: Address
     least_lease_ms: Milliseconds = 1000
@@ -71,14 +71,14 @@
 
 @final
 class LinkSettings(Section, frozen=True):
-    """The host's own link: megabits a second that it carries."""
+    """The host's network link, with its bandwidth in megabits per second."""
 
     mbps: Annotated[float, Meta(gt=0, le=1_000_000)] = LINK_MBPS
 
 
 @final
 class BoundSettings(Section, frozen=True):
-    """Bounds of the deployment."""
+    """Timeouts, limits and scheduling factors of the deployment."""
 
     resend_ms: Milliseconds = 1300
     hold_max_ms: Milliseconds = 1000
@@ -107,7 +107,7 @@
 
 
 def load_leased(file: Path) -> LeasedFile:
-    """Return the settings, checked whole; raises `SettingsError`."""
+    """Return the validated settings; raises `SettingsError`."""
     settings = load_as(file, LeasedFile)
     required: dict[str, dict[str, object]] = {
         "entry": {"listen.callers": settings.listen.callers, "listen.ready": settings.listen.ready},
@@ -125,7 +125,7 @@
 
 
 def bounds_of(settings: LeasedFile) -> Bounds:
-    """Return the bounds in seconds."""
+    """Return the bounds with durations in seconds."""
     given = settings.bounds
     return Bounds(
         resend=given.resend_ms / 1000,
@@ -142,6 +142,6 @@
 
 
 def seed_addresses(settings: LeasedFile) -> set[str]:
-    """Return the addresses at which seeds listen for peers."""
+    """Return the addresses on which the seeds listen for peers."""
     hosts = [seed.rpartition(":")[0] for seed in settings.peers.seeds]
     return {f"{host}:{settings.peers.port}" for host in hosts}
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/settings.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the daemon: a TOML file, checked whole, with unknown keys refused.
+"""Settings of the daemon, validated from a TOML file; unknown keys are refused.
 
-`address` values are `host:port`. Every error names the file, the key and what was expected.
+Addresses are `host:port`. Each error has the file, the key and what was expected.
 """
 
 import re
@@ -21,7 +21,7 @@
 Url = Annotated[str, Meta(pattern=URL_PATTERN)]
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 
-_EXPECTED = {
+_PATTERN_DESCRIPTIONS = {
     NAME_PATTERN: "a name of letters, digits, '.', '_' or '-', at most 63 characters",
     ADDRESS_PATTERN: "an address such as 10.0.0.1:7700",
     URL_PATTERN: "a URL that starts with http:// or https://",
@@ -31,7 +31,7 @@
 @final
 @dataclass(frozen=True)
 class SettingsError(Exception):
-    """A settings file that can't be used: which file, which key, and what was expected."""
+    """A settings file is invalid: the file, the key and what was expected."""
 
     file: Path
     key: str
@@ -47,7 +47,7 @@
 
 @final
 class Listen(Section, frozen=True):
-    """Where the process listens: HTTP for callers and operators, and its peers."""
+    """Addresses to listen on: HTTP for callers and operators, and peers."""
 
     http: Address
     peers: Address
@@ -78,14 +78,14 @@
 
 @final
 class Operators(Section, frozen=True):
-    """The key that hands over a table; with an empty one nobody may."""
+    """The key that authorizes table uploads; an empty one allows none."""
 
     key: Annotated[str, Meta(max_length=200)] = ""
 
 
 @final
 class Limits(Section, frozen=True):
-    """Bounds of what callers may send to an entry, and of how many may wait."""
+    """Limits on callers' requests to an entry, and on how many may wait."""
 
     max_tasks: Annotated[int, Meta(ge=1, le=100_000)] = 1900
     max_body_bytes: Annotated[int, Meta(ge=1024, le=1 << 30)] = 8 << 20
@@ -96,7 +96,7 @@
 
 @final
 class HomeSettings(Section, frozen=True):
-    """Bounds of a home: how long an id is accepted, ids and answer bytes kept."""
+    """Limits of a target that owns jobs: how long an id is valid, and the ids and bytes kept."""
 
     window_s: Seconds = 120.0
     max_records: Annotated[int, Meta(ge=10, le=10_000_000)] = 20_000
@@ -158,7 +158,7 @@
 
 
 def read_tables(file: Path) -> dict[str, object]:
-    """Return the tables of a TOML file, not checked yet; raises `SettingsError`."""
+    """Return the tables of a TOML file without validation; raises `SettingsError`."""
     try:
         return tomllib.loads(file.read_text(encoding="utf-8"))
     except OSError as error:
@@ -173,19 +173,19 @@
     return load_as(file, kind)
 
 
-_Any = TypeVar("_Any", bound=Section)
+_Settings = TypeVar("_Settings", bound=Section)
 
 
-def load_as(file: Path, kind: type[_Any]) -> _Any:
-    """Return the file's settings, checked as `kind`; raises `SettingsError`."""
+def load_as(file: Path, kind: type[_Settings]) -> _Settings:
+    """Return the file's settings, validated as `kind`; raises `SettingsError`."""
     try:
         return msgspec.convert(read_tables(file), kind)
     except msgspec.ValidationError as error:
-        raise _explain(file, str(error)) from error
+        raise _to_settings_error(file, str(error)) from error
 
 
-def _explain(file: Path, text: str) -> SettingsError:
-    """Turn msgspec's words into ours."""
+def _to_settings_error(file: Path, text: str) -> SettingsError:
+    """Translate a validation error of msgspec."""
     problem, _, path = text.partition(" - at `$")
     section = path.rstrip("`").lstrip(".")
     field = re.search(r"(unknown|required) field `([^`]+)`", problem)
@@ -193,7 +193,7 @@
         key = ".".join(part for part in (section, field[2]) if part)
         expected = "expected no such key" if field[1] == "unknown" else "expected a value"
         return SettingsError(file, key, expected)
-    for pattern, expected in _EXPECTED.items():
+    for pattern, expected in _PATTERN_DESCRIPTIONS.items():
         if pattern in problem:
             return SettingsError(file, section, f"expected {expected}")
     return SettingsError(file, section or "file", problem[:1].lower() + problem[1:])
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/__main__.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the stand-ins by hand: `python -m paddleshunt_platform.standins --help`."""
+"""Command line of the stand-ins: `python -m paddleshunt_platform.standins --help`."""
 
 import argparse
 import signal
@@ -21,10 +21,10 @@
     parser.add_argument("--store-port", type=int, default=7001)
     parser.add_argument("--hosts-port", type=int, default=7002)
     parser.add_argument("--hosts", type=Path, required=True, help='JSON: {"hosts": [...]}')
-    chosen = parser.parse_args()
-    hosts = msgspec.json.decode(chosen.hosts.read_bytes(), type=_HostFile).hosts
+    arguments = parser.parse_args()
+    hosts = msgspec.json.decode(arguments.hosts.read_bytes(), type=_HostFile).hosts
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    with StoreStandIn(chosen.store_port), HostsStandIn(hosts, chosen.hosts_port):
+    with StoreStandIn(arguments.store_port), HostsStandIn(hosts, arguments.hosts_port):
         try:
             signal.pause()
         except KeyboardInterrupt:
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/hosts.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/hosts.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of hosts, which shows changes only when told to."""
+"""Stand-in for the platform's list of hosts, which can delay changes."""
 
 from typing import final
 
@@ -12,7 +12,7 @@
     stand_in: "HostsStandIn"
 
     def do_GET(self) -> None:  # noqa: N802
-        """Answer with the list as it is shown."""
+        """Answer with the shown list."""
         if self.stand_in.down:
             self.answer(503, b"{}")
             return
@@ -21,7 +21,7 @@
 
 @final
 class HostsStandIn(StandIn):
-    """The list; with `lagging` set, changes are shown only by `catch_up`."""
+    """The list of hosts; while `lagging` is set, only `catch_up` shows changes."""
 
     def __init__(self, hosts: list[Host], port: int = 0) -> None:
         self._hosts = {host.host: host for host in hosts}
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/ports.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/ports.py
@@ -1,20 +1,20 @@
-"""Ports for processes that are started on loopback to try or to test the system."""
+"""Free ports on loopback for tests and demos."""
 
 import itertools
 import os
 import socket
 
 FIRST_PORT = 15_000
-PORTS = 15_000
-"""Ports below the range that the kernel gives to outgoing connections, so none is lost to those."""
+PORT_COUNT = 15_000
+"""Number of ports, all below the kernel's range for outgoing connections."""
 
-_turn = itertools.count(os.getpid() * 37)
+_offsets = itertools.count(os.getpid() * 37)
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on, another one at each call."""
-    for number in itertools.islice(_turn, PORTS):
-        port = FIRST_PORT + number % PORTS
+    """Return a port that nothing listens on, a different one at each call."""
+    for offset in itertools.islice(_offsets, PORT_COUNT):
+        port = FIRST_PORT + offset % PORT_COUNT
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/server.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a small HTTP server on a thread of its own."""
+"""Small HTTP server on its own thread, the base of the stand-ins."""
 
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from threading import Thread
@@ -6,12 +6,12 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Base of the stand-ins' request handlers: HTTP/1.1, and no log of its own."""
+    """Base of the stand-ins' request handlers: HTTP/1.1 without a log."""
 
     protocol_version = "HTTP/1.1"
 
     def log_message(self, format: str, *args: object) -> None:
-        """Say nothing."""
+        """Log nothing."""
 
     def body(self) -> bytes:
         """Return the request's body."""
@@ -31,11 +31,11 @@
     request_queue_size = 128
 
     def handle_error(self, request: object, client_address: object) -> None:
-        """Say nothing of connections that a client closed."""
+        """Ignore errors, such as connections closed by clients."""
 
 
 class StandIn:
-    """A stand-in that serves on loopback, from its making until `close`."""
+    """A stand-in that serves on loopback from its creation until `close`."""
 
     def __init__(self, handler: type[Handler], port: int = 0) -> None:
         bound = type("Bound", (handler,), {"stand_in": self})
@@ -45,7 +45,7 @@
 
     @property
     def url(self) -> str:
-        """Where it serves."""
+        """URL of the server."""
         return f"http://127.0.0.1:{self._server.server_address[1]}"
 
     def close(self) -> None:
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
@@ -1,7 +1,6 @@
-"""A stand-in for the platform's key-value service: a subset of the etcd v3 JSON gateway, in memory.
+"""Stand-in for the platform's key-value service: a subset of the etcd v3 JSON gateway, in memory.
 
-It can be told to be down, to be slow, to lose an answer after the write took effect, and to go
-back to an earlier state.
+It can simulate an outage, delays, answers lost after a write, and a restore from an old backup.
 """
 
 import base64
@@ -95,7 +94,7 @@
 
 @final
 class StoreStandIn(StandIn):
-    """The service. `down`, `delay` (seconds) and `lose_answers` (a count) are faults to set."""
+    """The service; `down`, `delay` (seconds) and `lose_answers` (a count) inject faults."""
 
     def __init__(self, port: int = 0) -> None:
         self._state = _State()
@@ -109,17 +108,17 @@
         super().__init__(_StoreHandler, port)
 
     def save(self) -> None:
-        """Remember the present state, to go back to."""
+        """Save the current state for `restore`."""
         with self._changed:
             self._saved = _copy(self._state)
 
     def restore(self) -> None:
-        """Return to the remembered state, as after a restore from an old backup."""
+        """Return to the saved state, as after a restore from an old backup."""
         with self._changed:
             self._state = _copy(self._saved)
 
     def take_lost_answer(self) -> bool:
-        """Return whether the answer of this write is to be lost."""
+        """Return whether to lose the answer to this write, and count it."""
         if self.lose_answers == 0:
             return False
         self.lose_answers -= 1
@@ -142,9 +141,9 @@
     def txn(self, request: dict[str, Any]) -> dict[str, Any]:
         """Serve `kv/txn` with compares of `MOD`, `VERSION` or `CREATE` that must be equal."""
         with self._changed:
-            succeeded = all(self._holds(compare) for compare in request.get("compare", []))
+            succeeded = all(self._matches(compare) for compare in request.get("compare", []))
             operations = request.get("success" if succeeded else "failure", [])
-            responses = [self._operate(operation) for operation in operations]
+            responses = [self._apply(operation) for operation in operations]
             self._changed.notify_all()
             return {"header": self.header(), "succeeded": succeeded, "responses": responses}
 
@@ -156,16 +155,16 @@
             return {"ID": str(number), "TTL": str(seconds)}
 
     def keep_alive(self, number: int) -> dict[str, str]:
-        """Serve `lease/keepalive`; a lapsed lease has no time to live."""
+        """Serve `lease/keepalive`; an expired lease has a time to live of 0."""
         with self._changed:
-            left = self._leases.get(number, 0.0) - time.monotonic()
-            if left <= 0:
+            remaining = self._leases.get(number, 0.0) - time.monotonic()
+            if remaining <= 0:
                 return {"ID": str(number), "TTL": "0"}
             self._leases[number] = time.monotonic() + 10
             return {"ID": str(number), "TTL": "10"}
 
     def events_from(self, request: dict[str, Any], revision: int) -> list[dict[str, Any]]:
-        """Return the writes from `revision` on that a watch covers; waits a little for one."""
+        """Return the writes from `revision` on that a watch covers; may wait briefly for one."""
         with self._changed:
             found = self._events(request, revision)
             if not found:
@@ -180,25 +179,25 @@
             if entry.mod_revision >= revision and _covers(request, key)
         ]
 
-    def _holds(self, compare: dict[str, Any]) -> bool:
+    def _matches(self, compare: dict[str, Any]) -> bool:
         entry = self._state.entries.get(base64.b64decode(compare["key"]))
         match compare["target"]:
             case "MOD":
-                found, wanted = entry.mod_revision if entry else 0, compare["mod_revision"]
+                found, expected = entry.mod_revision if entry else 0, compare["mod_revision"]
             case "VERSION":
-                found, wanted = entry.version if entry else 0, compare["version"]
+                found, expected = entry.version if entry else 0, compare["version"]
             case _:
                 raise ValueError(compare["target"])
-        return found == int(wanted)
+        return found == int(expected)
 
-    def _operate(self, operation: dict[str, Any]) -> dict[str, Any]:
+    def _apply(self, operation: dict[str, Any]) -> dict[str, Any]:
         if "requestRange" in operation:
             return {"response_range": self.range(operation["requestRange"])}
         put = operation["requestPut"]
         key = base64.b64decode(put["key"])
         self._state.revision += 1
-        known = self._state.entries.get(key)
-        version = known.version + 1 if known else 1
+        previous = self._state.entries.get(key)
+        version = previous.version + 1 if previous else 1
         entry = _Entry(base64.b64decode(put["value"]), self._state.revision, version)
         self._state.entries[key] = entry
         self._state.events.append((key, entry))
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
@@ -1,7 +1,7 @@
-"""The interface to the platform's key-value service, and the keys that the system uses there.
+"""Interface to the platform's key-value service, and the keys that the system uses there.
 
-Every call returns a tagged outcome. A write whose answer was lost is `Unanswered`: it may have
-taken effect, and only reading back can tell.
+Calls return errors as values. A write without an answer is `Unanswered`: it may have taken effect,
+which only reading the key back can tell.
 """
 
 from collections.abc import Iterator
@@ -12,13 +12,13 @@
 """Key of the operators' table document (JSON)."""
 
 ALLOTMENT_PREFIX = "paddleshunt/allotments/"
-"""Prefix of the allotment documents (JSON), one key a row."""
+"""Prefix of the allotment documents (JSON), with one key for each row."""
 
 KEY_PREFIX = "paddleshunt/"
 """Prefix of every key that the system uses."""
 
 ABSENT = 0
-"""Version of a key that isn't there, for `compare_and_swap`."""
+"""Version of a missing key, for `compare_and_swap`."""
 
 
 def allotment_key(service: str, site: str) -> str:
@@ -29,7 +29,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A key's value, and its version: a number that changes with every write to the key."""
+    """A key's value, and its version, which changes with every write to the key."""
 
     key: str
     data: bytes
@@ -39,7 +39,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """Values under a prefix, as of one revision of the whole store."""
+    """Values under a prefix at one revision of the store."""
 
     values: tuple[Value, ...]
     revision: int
@@ -54,7 +54,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class VersionConflict:
-    """The write did not take effect, as the key had another version; `found` is what is there."""
+    """The write did not take effect, as the key has another version; `found` is its value."""
 
     found: Value | None
 
@@ -62,7 +62,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """The service could not be asked; nothing happened."""
+    """The service could not be reached; the call had no effect."""
 
     reason: str
 
@@ -70,7 +70,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """The service was asked and did not answer; a write may have taken effect."""
+    """The service did not answer; a write may have taken effect."""
 
     reason: str
 
@@ -79,7 +79,7 @@
 
 
 class Store(Protocol):
-    """What the system needs of a key-value service."""
+    """The operations that the system needs of a key-value service."""
 
     def get(self, key: str) -> Value | StoreError | None:
         """Return the key's value, None if there is none."""
@@ -96,7 +96,7 @@
         """Yield values written under `prefix` after a revision; the last item is an error."""
 
     def grant_lease(self, seconds: int) -> int | StoreError:
-        """Return the number of a new lease."""
+        """Return the id of a new lease."""
 
     def keep_lease(self, lease: int) -> bool | StoreError:
-        """Renew a lease; return False if it has lapsed."""
+        """Renew a lease. Return False if it has expired."""
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
@@ -1,4 +1,4 @@
-"""Edits of the table in the store: compare-and-swap, and settling an answer that was lost."""
+"""Edits of the table in the store by compare-and-swap; a lost answer is settled by reading back."""
 
 import time
 from collections.abc import Callable
@@ -26,17 +26,17 @@
     Written,
 )
 
-READ_BACKS = 10
-"""How often a lost answer is looked up before the edit is given up as not known."""
+MAX_READ_BACKS = 10
+"""Reads after a lost answer before the edit's outcome counts as unknown."""
 
 READ_BACK_SECONDS = 1.0
-"""Seconds between two of these."""
+"""Seconds between these reads."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The edit is accepted; `document` is what the store holds since."""
+    """The edit took effect; `document` is what the store holds now."""
 
     document: TableDocument
 
@@ -52,7 +52,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The store did not say whether the edit took effect, and could not be asked again."""
+    """The answer was lost, and reading back didn't show whether the edit took effect."""
 
     edit: str
     reason: str
@@ -80,7 +80,7 @@
     try:
         document = msgspec.json.decode(found.data, type=TableDocument)
     except msgspec.MsgspecError as error:
-        return NotApplied(f"the store's table can't be understood: {error}")
+        return NotApplied(f"the store's table is invalid: {error}")
     return StoredTable(document, found.version)
 
 
@@ -94,8 +94,8 @@
 ) -> EditOutcome:
     """Replace the table's rows if it is still at revision `base`.
 
-    `in_force` is the newest table that entries follow. Where the store went back behind it, the
-    edit follows that one, so that the new revision is above all that were ever in force.
+    `in_force` is the newest table that entries use. If the store holds an older one, as after a
+    restore, the edit is based on `in_force`, so that revisions never repeat.
     """
     stored = read_table(store)
     if isinstance(stored, NotApplied):
@@ -103,17 +103,17 @@
     current = max(stored.document, in_force, key=lambda document: document.revision)
     if current.revision != base:
         return EditConflict(base, current.revision, changes(rows, current.rows))
-    following = revise(current, rows, edit)
-    done = store.compare_and_swap(TABLE_KEY, msgspec.json.encode(following), stored.version)
-    match done:
+    revised = revise(current, rows, edit)
+    written = store.compare_and_swap(TABLE_KEY, msgspec.json.encode(revised), stored.version)
+    match written:
         case Written():
-            return Applied(following)
+            return Applied(revised)
         case VersionConflict():
             return _conflict(store, rows, base)
         case Unreachable(reason):
             return NotApplied(f"the store can't be reached: {reason}")
         case Unanswered(reason):
-            return _settle(store, rows, base, edit, reason, sleep)
+            return _read_back_outcome(store, rows, base, edit, reason, sleep)
 
 
 def _conflict(store: Store, rows: list[Row], base: int) -> EditOutcome:
@@ -123,7 +123,7 @@
     return EditConflict(base, found.document.revision, changes(rows, found.document.rows))
 
 
-def _settle(
+def _read_back_outcome(
     store: Store,
     rows: list[Row],
     base: int,
@@ -131,12 +131,12 @@
     reason: str,
     sleep: Callable[[float], None],
 ) -> EditOutcome:
-    """Read back until the store tells whether the edit took effect.
+    """Read back until the store shows whether the edit took effect.
 
-    A write that still travels can take effect after a reading that shows the old revision. The
-    edit therefore counts as not applied only once another revision stands in its place.
+    A delayed write can still take effect after a read that shows the old revision, so the edit
+    counts as not applied only once another revision has taken its place.
     """
-    for _ in range(READ_BACKS):
+    for _ in range(MAX_READ_BACKS):
         found = read_table(store)
         if isinstance(found, StoredTable):
             if edit in found.document.recent_edits:
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/tablefile.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/tablefile.py
@@ -1,7 +1,7 @@
-"""The table as operators see it: CSV that opens in a spreadsheet.
+"""CSV format of the operators' table, which opens in a spreadsheet.
 
-The first line may say the revision that the file was made from: `# revision 7`. Then comes the
-header `service,site,weight,max_running,max_in_flight`, then one row for each service and site.
+An optional first line gives the revision that the file was made from: `# revision 7`. Next come the
+header `service,site,weight,max_running,max_in_flight` and one row for each service and site.
 """
 
 import csv
@@ -15,7 +15,7 @@
 COLUMNS = ("service", "site", "weight", "max_running", "max_in_flight")
 
 MAX_TABLE_BYTES = 1_000_000
-"""Largest file that is taken; the store holds values up to a megabyte."""
+"""Largest file that is accepted; the store holds values up to a megabyte."""
 
 _NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")
 _REVISION = re.compile(r"^#\s*revision\s+(\d+)\s*,*\s*$")
@@ -24,21 +24,21 @@
 @final
 @dataclass(frozen=True)
 class TableError(Exception):
-    """A table that can't be taken: the line of the file, the column, and what was expected."""
+    """A table file is invalid: the line, the column and what was expected."""
 
     line: int
     column: str
     expected: str
 
     def __str__(self) -> str:
-        where = f"line {self.line}, column {self.column}" if self.column else f"line {self.line}"
-        return f"{where}: {self.expected}"
+        location = f"line {self.line}, column {self.column}" if self.column else f"line {self.line}"
+        return f"{location}: {self.expected}"
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class TableFile:
-    """Rows of a file, and the revision it says it was made from (None: it doesn't say)."""
+    """Rows of a file, and the revision that it was made from; None if the file has none."""
 
     rows: list[Row]
     base: int | None
@@ -60,7 +60,7 @@
             line = reader.line_num + skipped
             if any(cell.strip() for cell in cells):
                 row = _row(cells, line)
-                _check_new(row, line, seen)
+                _check_duplicate(row, line, seen)
                 rows.append(row)
     except csv.Error as error:
         raise TableError(reader.line_num + skipped, "", f"expected CSV: {error}") from error
@@ -71,13 +71,13 @@
 
 def format_table(document: TableDocument) -> str:
     """Return the table as CSV, with its revision in the first line."""
-    out = io.StringIO()
-    out.write(f"# revision {document.revision}\n")
-    writer = csv.writer(out, lineterminator="\n")
+    buffer = io.StringIO()
+    buffer.write(f"# revision {document.revision}\n")
+    writer = csv.writer(buffer, lineterminator="\n")
     writer.writerow(COLUMNS)
     for row in document.rows:
         writer.writerow([row.service, row.site, row.weight, row.max_running, row.max_in_flight])
-    return out.getvalue()
+    return buffer.getvalue()
 
 
 def _base(lines: list[str]) -> int | None:
@@ -89,12 +89,12 @@
     names = [cell.strip() for cell in cells]
     for name in names:
         if name not in COLUMNS:
-            raise TableError(line, name or "(empty)", f"unknown column; expected {_listed()}")
+            raise TableError(line, name or "(empty)", f"unknown column; expected {_column_list()}")
     if tuple(names) != COLUMNS:
-        raise TableError(line, "", f"expected the columns {_listed()}")
+        raise TableError(line, "", f"expected the columns {_column_list()}")
 
 
-def _listed() -> str:
+def _column_list() -> str:
     return ",".join(COLUMNS)
 
 
@@ -120,9 +120,9 @@
     return int(text)
 
 
-def _check_new(row: Row, line: int, seen: dict[tuple[str, str], int]) -> None:
-    first = seen.setdefault((row.service, row.site), line)
-    if first != line:
+def _check_duplicate(row: Row, line: int, seen: dict[tuple[str, str], int]) -> None:
+    first_line = seen.setdefault((row.service, row.site), line)
+    if first_line != line:
         raise TableError(
-            line, "site", f"{row.service} at {row.site} has a row already, in line {first}"
+            line, "site", f"{row.service} at {row.site} has a row already, in line {first_line}"
         )
--- a/testing/platform/test_etcd.py
+++ b/testing/platform/test_etcd.py
@@ -44,7 +44,7 @@
     assert [value.key for value in listing.values] == ["p/a", "p/b"]
 
 
-def test_watch_yields_what_is_written_after_the_listing(store: EtcdStore) -> None:
+def test_watch_yields_later_writes(store: EtcdStore) -> None:
     store.compare_and_swap("p/a", b"before", ABSENT)
     listing = store.list("p/")
     assert isinstance(listing, Listing)
@@ -57,26 +57,26 @@
     assert (found.key, found.data) == ("p/b", b"after")
 
 
-def test_watch_ends_when_the_service_goes_away(store: EtcdStore, service: StoreStandIn) -> None:
+def test_watch_ends_when_the_service_goes_down(store: EtcdStore, service: StoreStandIn) -> None:
     watch = store.watch("p/", 1)
     threading.Timer(0.1, setattr, (service, "down", True)).start()
     assert isinstance(next(watch), Unanswered)
     assert list(watch) == []
 
 
-def test_service_that_does_not_answer(store: EtcdStore, service: StoreStandIn) -> None:
+def test_call_to_a_silent_service_is_unanswered(store: EtcdStore, service: StoreStandIn) -> None:
     service.down = True
     assert isinstance(store.get("p/a"), Unanswered)
 
 
-def test_service_that_is_not_there() -> None:
+def test_call_to_a_closed_port_is_unreachable() -> None:
     service = StoreStandIn()
     url = service.url
     service.close()
     assert isinstance(EtcdStore(url).get("p/a"), Unreachable)
 
 
-def test_answer_lost_after_the_write_took_effect(store: EtcdStore, service: StoreStandIn) -> None:
+def test_write_may_take_effect_without_an_answer(store: EtcdStore, service: StoreStandIn) -> None:
     service.lose_answers = 1
     assert isinstance(store.compare_and_swap("p/a", b"one", ABSENT), Unanswered)
     found = store.get("p/a")
@@ -84,14 +84,14 @@
     assert found.data == b"one"
 
 
-def test_service_that_went_back(store: EtcdStore, service: StoreStandIn) -> None:
+def test_restored_service_lacks_later_writes(store: EtcdStore, service: StoreStandIn) -> None:
     service.save()
     store.compare_and_swap("p/a", b"one", ABSENT)
     service.restore()
     assert store.get("p/a") is None
 
 
-def test_lease_is_granted_and_lapses(store: EtcdStore) -> None:
+def test_lease_is_granted_and_renewed(store: EtcdStore) -> None:
     lease = store.grant_lease(10)
     assert isinstance(lease, int)
     assert store.keep_lease(lease) is True
--- a/testing/platform/test_hosts.py
+++ b/testing/platform/test_hosts.py
@@ -18,7 +18,7 @@
         assert found[0].state is HostState.GONE
 
 
-def test_list_that_can_not_be_had() -> None:
+def test_unavailable_list_is_an_error() -> None:
     with HostsStandIn([HOST]) as platform:
         platform.down = True
         assert HostList(platform.url).fetch() == HostsError("status 503")
--- a/testing/platform/test_settings.py
+++ b/testing/platform/test_settings.py
@@ -40,13 +40,13 @@
     return file
 
 
-def test_files_load(tmp_path: Path) -> None:
+def test_role_is_detected(tmp_path: Path) -> None:
     assert isinstance(load_either(write(tmp_path, ENTRY)), EntryFile)
     assert isinstance(load_either(write(tmp_path, TARGET)), TargetFile)
 
 
 @pytest.mark.parametrize("file", sorted(SETTINGS.glob("*.toml")), ids=lambda file: file.stem)
-def test_examples_load(file: Path) -> None:
+def test_example_settings_are_valid(file: Path) -> None:
     load_either(file)
 
 
@@ -63,7 +63,7 @@
         pytest.param("[listen]", "[listen", "file: expected TOML", id="syntax"),
     ],
 )
-def test_error_names_file_key_and_what_was_expected(
+def test_error_has_file_key_and_expectation(
     tmp_path: Path, old: str, new: str, message: str
 ) -> None:
     file = write(tmp_path, TARGET.replace(old, new))
--- a/testing/platform/test_tableedit.py
+++ b/testing/platform/test_tableedit.py
@@ -25,7 +25,7 @@
     return apply_edit(store, rows, base, name, sleep=lambda seconds: None)
 
 
-def test_racing_edit_is_told_what_the_other_changed(store: FakeStore) -> None:
+def test_conflict_has_the_changes_of_the_other_edit(store: FakeStore) -> None:
     assert isinstance(edit(store, [HALL, DEPOT], 1, "one"), Applied)
     late = edit(store, [HALL], 1, "two")
     assert isinstance(late, EditConflict)
@@ -36,7 +36,7 @@
     assert stored.document.edit == "one"
 
 
-def test_lost_answer_is_settled_by_finding_the_own_edit(store: FakeStore) -> None:
+def test_lost_answer_is_settled_by_reading_the_own_edit(store: FakeStore) -> None:
     store.lose_answers = 1
     found = edit(store, [DEPOT], 1, "mine")
     assert isinstance(found, Applied)
@@ -55,14 +55,14 @@
     assert isinstance(edit(store, [DEPOT], 1, "mine"), Applied)
 
 
-def test_answer_that_stays_out_is_not_known(store: FakeStore) -> None:
-    class Silent(FakeStore):
+def test_edit_without_an_answer_has_an_unknown_outcome(store: FakeStore) -> None:
+    class SilentStore(FakeStore):
         def compare_and_swap(self, key: str, data: bytes, version: int) -> object:
             return Unanswered("lost")
 
-    silent = Silent()
-    silent.values = store.values
-    assert edit(silent, [DEPOT], 1, "mine") == OutcomeUnknown("mine", "lost")
+    silent_store = SilentStore()
+    silent_store.values = store.values
+    assert edit(silent_store, [DEPOT], 1, "mine") == OutcomeUnknown("mine", "lost")
 
 
 def test_store_down_is_not_applied(store: FakeStore) -> None:
@@ -71,16 +71,16 @@
 
 
 def test_unreachable_at_the_write_is_not_applied(store: FakeStore) -> None:
-    class Closing(FakeStore):
+    class UnreachableStore(FakeStore):
         def compare_and_swap(self, key: str, data: bytes, version: int) -> object:
             return Unreachable("refused")
 
-    closing = Closing()
-    closing.values = store.values
-    assert isinstance(edit(closing, [DEPOT], 1, "mine"), NotApplied)
+    unreachable_store = UnreachableStore()
+    unreachable_store.values = store.values
+    assert isinstance(edit(unreachable_store, [DEPOT], 1, "mine"), NotApplied)
 
 
-def test_edit_goes_above_what_is_in_force_where_the_store_went_back(store: FakeStore) -> None:
+def test_edit_of_a_restored_store_continues_the_revisions_in_force(store: FakeStore) -> None:
     in_force = revise(revise(revise(EMPTY_TABLE, [HALL], "a"), [HALL], "b"), [DEPOT], "c")
     conflict = apply_edit(store, [HALL], 1, "mine", in_force)
     assert isinstance(conflict, EditConflict)
