--- a/testing/council/test_standstill.py
+++ b/testing/council/test_delayed_start.py
@@ -1,4 +1,4 @@
-"""Issue 23: a target stands still after it has decided on a start, before the call leaves."""
+"""A target process that pauses between its decision to start a task and the call."""
 
 import time
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 KEY = "5c0e7a21d94b36f8"
 
 ROUNDING_MS = 2
-"""Milliseconds by which two roundings of clocks may differ."""
+"""Milliseconds of difference that two rounded clock values may have."""
 
 
-class StillOnce:
-    """A runner's port in front of which the whole process stands still, once."""
+class PausingPort:
+    """A runner port that pauses the whole process before the first start."""
 
     def __init__(self, port: RunnerPort, seconds: float) -> None:
         self._port = port
@@ -26,11 +26,11 @@
         self.orders: list[StartRun] = []
         self.answers: list[StartAnswer] = []
 
-    def expect(self, life: RunnerIncarnation | None) -> None:
-        self._port.expect(life)
+    def expect(self, incarnation: RunnerIncarnation | None) -> None:
+        self._port.expect(incarnation)
 
-    def refine_identity(self, life: RunnerIncarnation) -> None:
-        self._port.refine_identity(life)
+    def refine_identity(self, incarnation: RunnerIncarnation) -> None:
+        self._port.refine_identity(incarnation)
 
     def supersede(self) -> None:
         self._port.supersede()
@@ -50,11 +50,11 @@
         return await self._port.poll(poll)
 
 
-def test_an_order_that_left_late_brings_no_lease_beyond_its_decision() -> None:
-    ports: list[StillOnce] = []
+def test_delayed_start_gets_no_lease_beyond_its_decision() -> None:
+    ports: list[PausingPort] = []
 
-    def still(port: RunnerPort) -> RunnerPort:
-        ports.append(StillOnce(port, TIMES.session_expiry + 0.1))
+    def pausing(port: RunnerPort) -> RunnerPort:
+        ports.append(PausingPort(port, TIMES.session_expiry + 0.1))
         return ports[0]
 
     async def scene(system: System) -> None:
@@ -62,11 +62,11 @@
         await system.submit(KEY, 100, wait=4.0)
         await until_true(lambda: len(ports[0].answers) >= 3)
         decided = {(order.run.task.index, order.run.number): order for order in ports[0].orders}
-        calls = [asked for path, asked in system.runner.calls if path.endswith("/run-start")]
-        for asked in calls:
-            index = int(str(asked["task"]).rpartition(".")[2])
-            order = decided[index, int(str(asked["run"]))]
+        calls = [body for path, body in system.runner.calls if path.endswith("/run-start")]
+        for body in calls:
+            index = int(str(body["task"]).rpartition(".")[2])
+            order = decided[index, int(str(body["run"]))]
             latest = (order.decided + TIMES.hold) * 1000 + ROUNDING_MS
-            assert int(str(asked["deadline_ms"])) <= latest
+            assert int(str(body["deadline_ms"])) <= latest
 
-    play(scene, System(BOUNDS, still))
+    play(scene, System(BOUNDS, pausing))
--- a/testing/council/test_late_heartbeats.py
+++ b/testing/council/test_late_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that were held back until their sender had crashed and another life had registered."""
+"""Heartbeats that arrive after their sender crashed and another incarnation registered."""
 
 import asyncio
 import json
@@ -14,59 +14,61 @@
 HEARTBEAT = "/paddleshunt/Instances.Heartbeat/"
 
 
-async def beat(system: System, runner: str, *, expected: int = 200, **fields: object) -> None:
+async def send_heartbeat(
+    system: System, runner: str, *, expected: int = 200, **fields: object
+) -> None:
     body = json.dumps({**json.loads(BEAT), **fields}).encode()
     answer = await call(system.registration, "POST", HEARTBEAT + runner, body)
     assert answer.status == expected
 
 
-def of_next(sequence: int) -> RunnerStatus:
+def status_of_i_2(sequence: int) -> RunnerStatus:
     return RunnerStatus(
         RunnerIncarnation("i-2"), "svc", "hall", Resources(), False, None, sequence=sequence
     )
 
 
-async def in_second_life(system: System) -> None:
-    """Let the runner crash and come back as `i-2`."""
+async def start_second_incarnation(system: System) -> None:
+    """Replace the runner by the incarnation `i-2`, and wait for the target to follow it."""
     await system.open()
     system.runner.life = "i-2"
-    await beat(system, "i-2", sequence=3)
+    await send_heartbeat(system, "i-2", sequence=3)
     await until_true(lambda: system.target.describe()["runner"] == "i-2")
     await until(system.is_ready)
 
 
 @pytest.mark.parametrize(
-    ("runner", "fields", "answered"),
+    ("runner", "fields", "status"),
     [
         ("i-1", {"sequence": 9}, 200),
         ("i-0", {"sequence": 9}, 200),
         ("i-2", {"sequence": 2, "state": "draining"}, 503),
         ("i-2", {"sequence": 2, "capacity": {"cpu": 1, "mem_mb": 1, "gpu": 0}}, 200),
     ],
-    ids=["life_before", "unknown_life", "earlier_draining", "earlier_room"],
+    ids=["previous_incarnation", "unknown_incarnation", "earlier_draining", "earlier_capacity"],
 )
-def test_a_late_heartbeat_stops_no_run_and_changes_no_room(
-    runner: str, fields: dict[str, object], answered: int
+def test_late_heartbeat_stops_no_run_and_changes_no_capacity(
+    runner: str, fields: dict[str, object], status: int
 ) -> None:
     async def scene(system: System) -> None:
-        await in_second_life(system)
+        await start_second_incarnation(system)
         before = system.target.describe()
         job = asyncio.ensure_future(system.submit(KEY, 600))
         await until_true(lambda: len(system.runner.tasks) == 3)
-        await beat(system, runner, expected=answered, **fields)
+        await send_heartbeat(system, runner, expected=status, **fields)
         assert (await job).status == 200
         after = system.target.describe()
-        shown = ("runner", "state", "free", "sessions")
-        assert [after[name] for name in shown] == [before[name] for name in shown]
+        compared = ("runner", "state", "free", "sessions")
+        assert [after[name] for name in compared] == [before[name] for name in compared]
         assert system.runner.stopped == []
         assert len(system.runner.started) == 3
 
     play(scene)
 
 
-def test_a_late_word_of_an_end_is_not_taken_for_the_present_life() -> None:
+def test_late_deregistration_does_not_end_the_current_incarnation() -> None:
     async def scene(system: System) -> None:
-        await in_second_life(system)
+        await start_second_incarnation(system)
         path = "/paddleshunt/Instances.Deregister/i-1"
         assert (await call(system.registration, "POST", path)).status == 200
         assert system.target.describe()["runner"] == "i-2"
@@ -75,13 +77,15 @@
     play(scene)
 
 
-def test_a_life_that_was_denied_is_followed_with_what_it_has_said_since() -> None:
+def test_denied_incarnation_is_followed_later_with_its_latest_status() -> None:
     async def scene(system: System) -> None:
         await system.open()
-        await beat(system, "i-2", sequence=1)
-        await until_true(lambda: system.target._worker.classify(of_next(2)) is HeartbeatClass.LATE)
-        await beat(system, "i-2", sequence=3, state="draining")
-        await beat(system, "i-2", sequence=2)
+        await send_heartbeat(system, "i-2", sequence=1)
+        await until_true(
+            lambda: system.target._worker.classify(status_of_i_2(2)) is HeartbeatClass.LATE
+        )
+        await send_heartbeat(system, "i-2", sequence=3, state="draining")
+        await send_heartbeat(system, "i-2", sequence=2)
         system.runner.life = "i-2"
         await until_true(lambda: system.target.describe()["runner"] == "i-2")
         assert system.target.describe()["state"] == "LEAVING"
@@ -89,11 +93,11 @@
     play(scene)
 
 
-def test_a_life_that_could_not_be_asked_is_followed_once_the_known_one_has_ended() -> None:
+def test_unanswered_incarnation_is_followed_once_the_current_one_has_ended() -> None:
     async def scene(system: System) -> None:
         await system.open()
         system.runner.silent = True
-        await beat(system, "i-2", sequence=1)
+        await send_heartbeat(system, "i-2", sequence=1)
         await asyncio.sleep(0.3)
         assert system.target.describe()["runner"] == "i-1"
         system.runner.life = "i-2"
--- a/testing/council/test_names.py
+++ b/testing/council/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its adapter, its deploy files and their tests, nowhere else."""
+"""Only the adapter, its deploy files and their tests use the platform's names."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-NAMES = (
+PLATFORM_NAMES = (
     "run-start",
     "run-stop",
     "kv-key",
@@ -31,7 +31,7 @@
     "PADDLESHUNT_CONFIG",
     "internal_ports",
 )
-PATTERN = re.compile("|".join(re.escape(name) for name in NAMES), re.IGNORECASE)
+PATTERN = re.compile("|".join(re.escape(name) for name in PLATFORM_NAMES), re.IGNORECASE)
 FILES = sorted(
     file
     for folder in ("packages", "testing", "examples", "benchmarks")
@@ -41,14 +41,14 @@
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda file: str(file.relative_to(ROOT)))
-def test_file_knows_none_of_the_platforms_names(file: Path) -> None:
+def test_file_has_no_platform_names(file: Path) -> None:
     assert PATTERN.search(file.read_text()) is None
 
 
-def test_the_walk_sees_a_name() -> None:
+def test_pattern_finds_a_name_in_the_adapter() -> None:
     adapter = ROOT / "platform" / "paddleshunt_council" / "runner.py"
     assert PATTERN.search(adapter.read_text()) is not None
 
 
-def test_the_folder_does_not_hide_the_standard_librarys_module() -> None:
+def test_platform_folder_does_not_shadow_the_standard_module() -> None:
     assert not (ROOT / "platform" / "__init__.py").exists()
--- a/testing/council/test_release.py
+++ b/testing/council/test_runner_replacement.py
@@ -1,4 +1,4 @@
-"""A runner that is replaced on its host: the new one registers first, the old one drains."""
+"""A runner is replaced on its host: the new one registers while the old one drains."""
 
 import asyncio
 import json
@@ -9,29 +9,29 @@
 DEREGISTER = "/paddleshunt/Instances.Deregister/"
 
 
-async def beat(system: System, runner: str, **fields: object) -> None:
+async def send_heartbeat(system: System, runner: str, **fields: object) -> None:
     body = json.dumps({**json.loads(BEAT), **fields}).encode()
     assert (await call(system.registration, "POST", HEARTBEAT + runner, body)).status == 200
 
 
-def test_a_life_that_registers_while_the_last_one_drains_is_followed_after_it() -> None:
+def test_new_runner_is_followed_once_the_draining_one_has_ended() -> None:
     async def scene(system: System) -> None:
         await system.open()
         job = asyncio.ensure_future(system.submit("5c0e7a21d94b36f8", 600))
         await until_true(lambda: len(system.runner.tasks) == 3)
-        # The old one still has the address, and says so.
-        await beat(system, "i-2", sequence=1)
+        # The old runner still answers at the address, with its own id.
+        await send_heartbeat(system, "i-2", sequence=1)
         await asyncio.sleep(0.1)
         assert system.target.describe()["runner"] == "i-1"
-        await beat(system, "i-1", sequence=9, state="draining")
-        await beat(system, "i-2", sequence=2)
+        await send_heartbeat(system, "i-1", sequence=9, state="draining")
+        await send_heartbeat(system, "i-2", sequence=2)
         assert (await job).status == 200
         assert system.runner.stopped == []
         assert len(system.runner.started) == 3
         path = DEREGISTER + "i-1"
         assert (await call(system.registration, "POST", path)).status == 200
         system.runner.life = "i-2"
-        await beat(system, "i-2", sequence=3)
+        await send_heartbeat(system, "i-2", sequence=3)
         await until_true(lambda: system.target.describe()["runner"] == "i-2")
         await until_true(lambda: system.target.describe()["state"] == "READY")
         assert (await system.submit("5c0e7a21d94b36f9", 100)).status == 200
@@ -39,10 +39,10 @@
     play(scene)
 
 
-def test_nothing_starts_on_a_runner_that_drains() -> None:
+def test_draining_runner_gets_no_task() -> None:
     async def scene(system: System) -> None:
         await system.open()
-        await beat(system, "i-1", sequence=9, state="draining")
+        await send_heartbeat(system, "i-1", sequence=9, state="draining")
         answer = await system.submit("5c0e7a21d94b36f8", 100)
         assert answer.status == 503
         assert system.runner.started == []
--- a/testing/council/test_settings.py
+++ b/testing/council/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that the templates make are whole; bad ones are refused with file, key and reason."""
+"""The templates' settings are valid; invalid ones are refused with file, key and reason."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "target"])
-def test_template_makes_whole_settings(role: str, tmp_path: Path) -> None:
+def test_template_settings_are_valid(role: str, tmp_path: Path) -> None:
     file = tmp_path / "local.toml"
     file.write_text(filled(role))
     assert load_leased(file).process.role == role
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize(("given", "expected"), [(2, 2.0), (None, 1.5)], ids=["given", "not-given"])
 @pytest.mark.parametrize("role", ["entry", "target"])
-def test_the_bound_of_cold_runners_may_be_missing(
+def test_cold_overrun_is_optional(
     role: str, given: int | None, expected: float, tmp_path: Path
 ) -> None:
     file = tmp_path / "local.toml"
@@ -39,7 +39,9 @@
     ],
     ids=["not-toml", "unknown-key", "no-file"],
 )
-def test_bad_settings_start_nothing(text: str | None, problem: str, tmp_path: Path) -> None:
+def test_invalid_settings_exit_with_the_problem(
+    text: str | None, problem: str, tmp_path: Path
+) -> None:
     file = tmp_path / "local.toml"
     if text is not None:
         file.write_text(text + filled("entry"))
@@ -48,7 +50,7 @@
     assert f"{file}: {problem}" in result.output
 
 
-def test_bounds_without_room_for_leases_are_refused(tmp_path: Path) -> None:
+def test_bounds_without_time_for_leases_are_refused(tmp_path: Path) -> None:
     file = tmp_path / "local.toml"
     file.write_text(filled("entry", **{"bounds.resend_ms": 150}))
     with pytest.raises(SettingsError, match="leave no time for leases"):
@@ -63,7 +65,7 @@
     assert "process.role: expected entry" in result.output
 
 
-def test_an_operator_may_say_what_a_way_between_halls_costs(tmp_path: Path) -> None:
+def test_hall_preference_is_optional(tmp_path: Path) -> None:
     file = tmp_path / "local.toml"
     file.write_text(filled("entry"))
     assert bounds_of(load_leased(file)).hall_preference == HALL_PREFERENCE
--- a/testing/council/test_silence.py
+++ b/testing/council/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections that fall silent for good, without a reset, while new ones work."""
+"""Open connections that stop delivering data without a reset, while new ones work."""
 
 import asyncio
 
@@ -15,34 +15,34 @@
 KEY = "5c0e7a21d94b36f8"
 
 
-class Silence:
-    """Lets what comes over all connections of entries and targets that are open now vanish."""
+class SilencedLinks:
+    """Drops the data that arrives over silenced links between entries and targets."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.links: list[PeerLink] = []
         self._silent: set[PeerLink] = set()
-        made = PeerLink.connection_made
-        received = PeerLink.data_received
+        original_connection_made = PeerLink.connection_made
+        original_data_received = PeerLink.data_received
 
-        def note_made(link: PeerLink, transport: asyncio.BaseTransport) -> None:
+        def record_link(link: PeerLink, transport: asyncio.BaseTransport) -> None:
             self.links.append(link)
-            made(link, transport)
+            original_connection_made(link, transport)
 
         def receive(link: PeerLink, data: bytes) -> None:
             if link not in self._silent:
-                received(link, data)
+                original_data_received(link, data)
 
-        monkeypatch.setattr(PeerLink, "connection_made", note_made)
+        monkeypatch.setattr(PeerLink, "connection_made", record_link)
         monkeypatch.setattr(PeerLink, "data_received", receive)
 
-    def fall(self) -> None:
+    def silence_open_links(self) -> None:
         self._silent.update(self.links)
 
 
-def test_a_session_outlives_connections_that_fall_silent_again_and_again(
+def test_session_survives_repeated_silent_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    silence = Silence(monkeypatch)
+    silenced = SilencedLinks(monkeypatch)
 
     async def scene(system: System) -> None:
         await system.open()
@@ -50,7 +50,7 @@
         await until_true(lambda: len(system.runner.tasks) == 3)
         sessions = system.target.describe()["sessions"]
         for _ in range(2):
-            silence.fall()
+            silenced.silence_open_links()
             await asyncio.sleep(lease_times(system.bounds).session)
         assert (await job).status == 200
         assert system.target.describe()["sessions"] == sessions
@@ -60,16 +60,16 @@
     play(scene)
 
 
-def test_an_idle_session_goes_on_after_its_connection_fell_silent(
+def test_idle_session_survives_a_silent_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    silence = Silence(monkeypatch)
+    silenced = SilencedLinks(monkeypatch)
 
     async def scene(system: System) -> None:
         await system.open()
         await asyncio.sleep(0.6)
         sessions = system.target.describe()["sessions"]
-        silence.fall()
+        silenced.silence_open_links()
         times = lease_times(system.bounds)
         await asyncio.sleep(times.idle_heartbeat + times.reconnect_after + 2 * times.heartbeat)
         job = await asyncio.wait_for(system.submit(KEY, 100), 1.0)
@@ -79,16 +79,16 @@
     play(scene)
 
 
-def test_what_an_idle_target_does_not_answer_for_is_withdrawn_and_runs_once(
+def test_tasks_of_a_silent_idle_target_are_withdrawn_and_run_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    silence = Silence(monkeypatch)
+    silenced = SilencedLinks(monkeypatch)
 
     def is_lapsed(system: System) -> bool:
         leases = system.target.describe()["leases"]
         return isinstance(leases, dict) and not leases["e1"]["confirmed"]
 
-    def is_unanswered(system: System) -> bool:
+    def is_unconfirmed(system: System) -> bool:
         targets = system.entry.describe()["targets"]
         return isinstance(targets, dict) and not targets["t1"]["answered"]
 
@@ -96,10 +96,10 @@
         await system.open()
         await until_true(lambda: is_lapsed(system))
         await asyncio.sleep(0.03)
-        silence.fall()
-        # Long enough that its entry still waits when the next heartbeat finds the silence.
+        silenced.silence_open_links()
+        # The job outlasts the interval in which heartbeats detect the silent connection.
         job = asyncio.ensure_future(system.submit(KEY, 2000))
-        await until_true(lambda: is_unanswered(system))
+        await until_true(lambda: is_unconfirmed(system))
         assert not system.runner.tasks
         assert (await asyncio.wait_for(job, 10.0)).status == 200
         assert len(system.runner.started) == 3
@@ -107,8 +107,8 @@
     play(scene)
 
 
-def test_a_target_that_finds_one_connection_silent_asks_over_all_others() -> None:
-    """They often fall silent together; heartbeats of idle sessions are far apart."""
+def test_target_probes_all_links_when_one_is_silent() -> None:
+    """Connections often fail together, and idle sessions would notice only at rare heartbeats."""
     times = lease_times(Bounds())
     worker = Worker(times)
     worker.heartbeat_received(
--- a/testing/council/test_soakwire.py
+++ b/testing/council/test_soakwire.py
@@ -1,4 +1,4 @@
-"""The soak's wire between a target and its runner brings its troubles about."""
+"""Tests of the faults that the soak injects between a target and its runner."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,81 +11,81 @@
 from paddleshunt_platform.standins.ports import free_port
 from soakwire import MUTE, RESETS, UNANSWERED, Wire
 
-PATIENCE = 0.1
-"""Seconds that a caller waits for an answer that does not come."""
+ANSWER_TIMEOUT = 0.1
+"""Seconds that a caller waits for a missing answer."""
 
 
 class Runner:
-    """Answers what its wire lets through, and counts what it carries out."""
+    """A runner that counts the orders that it executes, with faults on its connections."""
 
     def __init__(self) -> None:
         self.wire = Wire()
-        self.carried_out = 0
+        self.executed = 0
         self.address = f"127.0.0.1:{free_port()}"
-        self.late = asyncio.Event()
+        self.executed_event = asyncio.Event()
 
     async def start(self) -> None:
         await HttpServer(self).start(self.address)
 
     def handle(self, exchange: Exchange) -> None:
-        if self.wire.takes(exchange, self._carry_out):
+        if self.wire.takes(exchange, self._execute):
             return
-        self._carry_out()
+        self._execute()
         if not self.wire.resets(exchange):
             exchange.respond(Response(200))
 
-    def _carry_out(self) -> None:
-        self.carried_out += 1
-        self.late.set()
+    def _execute(self) -> None:
+        self.executed += 1
+        self.executed_event.set()
 
     def abandoned(self, exchange: Exchange) -> None:
         pass
 
 
-async def ask(client: HttpClient, seconds: float = PATIENCE) -> HttpResponse:
+async def send_order(client: HttpClient, seconds: float = ANSWER_TIMEOUT) -> HttpResponse:
     return await client.call("POST", "/order", seconds, b"")
 
 
-async def put_off(runner: Runner) -> None:
+async def delayed_order(runner: Runner) -> None:
     client = HttpClient(runner.address)
     runner.wire.trouble(UNANSWERED, 1.0, 60.0, Random(1))
     with pytest.raises(CallError):
-        await ask(client)
-    assert runner.carried_out == 0
+        await send_order(client)
+    assert runner.executed == 0
     runner.wire.trouble(UNANSWERED, 1.0, 0.0, Random(1))
-    await runner.late.wait()
-    assert (await ask(client, 30.0)).status == 200
-    assert runner.carried_out == 2
+    await runner.executed_event.wait()
+    assert (await send_order(client, 30.0)).status == 200
+    assert runner.executed == 2
 
 
-async def reset(runner: Runner) -> None:
+async def reset_connection(runner: Runner) -> None:
     client = HttpClient(runner.address)
     runner.wire.trouble(RESETS, 1.0, 60.0, Random(1))
     with pytest.raises(CallError):
-        await ask(client, 30.0)
-    assert runner.carried_out == 1
+        await send_order(client, 30.0)
+    assert runner.executed == 1
     runner.wire.trouble(RESETS, 1.0, 0.0, Random(1))
-    assert (await ask(client, 30.0)).status == 200
+    assert (await send_order(client, 30.0)).status == 200
 
 
-async def mute(runner: Runner) -> None:
-    waiting = HttpClient(runner.address)
+async def muted_connection(runner: Runner) -> None:
+    muted_client = HttpClient(runner.address)
     runner.wire.trouble(MUTE, 1.0, 60.0, Random(1))
-    silent = asyncio.ensure_future(ask(waiting, 30.0))
+    muted_call = asyncio.ensure_future(send_order(muted_client, 30.0))
     while not runner.wire.hit[MUTE]:
         await asyncio.sleep(0.01)
     runner.wire.trouble(MUTE, 1.0, 0.0, Random(1))
-    assert (await ask(HttpClient(runner.address), 30.0)).status == 200
-    assert not silent.done()
-    assert runner.carried_out == 1
-    silent.cancel()
+    assert (await send_order(HttpClient(runner.address), 30.0)).status == 200
+    assert not muted_call.done()
+    assert runner.executed == 1
+    muted_call.cancel()
 
 
-@pytest.mark.parametrize("scene", [put_off, reset, mute])
-def test_a_trouble_takes_calls_or_answers(
+@pytest.mark.parametrize("scene", [delayed_order, reset_connection, muted_connection])
+def test_fault_affects_calls_or_answers(
     scene: Callable[[Runner], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(soakwire, "PUT_OFF_SECONDS", (2 * PATIENCE, 3 * PATIENCE))
+    monkeypatch.setattr(soakwire, "PUT_OFF_SECONDS", (2 * ANSWER_TIMEOUT, 3 * ANSWER_TIMEOUT))
 
     async def run() -> None:
         runner = Runner()
@@ -95,7 +95,7 @@
     asyncio.run(run())
 
 
-def test_a_trouble_hits_its_share_alone() -> None:
+def test_fault_affects_its_share_of_calls() -> None:
     async def run() -> int:
         runner = Runner()
         await runner.start()
@@ -103,7 +103,7 @@
         answered = 0
         for _ in range(40):
             try:
-                await ask(HttpClient(runner.address), 30.0)
+                await send_order(HttpClient(runner.address), 30.0)
                 answered += 1
             except CallError:
                 pass
--- a/testing/council/test_suspended.py
+++ b/testing/council/test_suspension.py
@@ -1,4 +1,4 @@
-"""A host that is suspended: its steady clock does not count the time, all others' clocks do."""
+"""Suspension of a host, during which its steady clock stops while those of others go on."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 
 BOUNDS = Bounds()
 KEY = "5c0e7a21d94b36f8"
-NOT_KNOWN = 504
-"""What a caller is answered whose job's tasks may have run."""
+UNKNOWN_OUTCOME_STATUS = 504
+"""Status of a job whose outcome is unknown, as its tasks may have run."""
 
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Callable[[float], None]:
-    """Let the clock that decides jump, as after a suspension of so many seconds."""
+    """Return a function that advances the clock of decisions as a suspension does."""
     read = clock.now
 
     def jump(seconds: float) -> None:
@@ -26,17 +26,17 @@
 
 
 @pytest.mark.parametrize("seconds", [1.0, 4.0, 10.0])
-def test_what_was_held_before_a_suspension_is_given_up_and_stopped_after_it(
+def test_long_suspension_gives_up_jobs_and_stops_their_runs(
     seconds: float, suspend: Callable[[float], None]
 ) -> None:
-    """Callers have gone elsewhere meanwhile: nothing of theirs may start, or go on for long."""
+    """Callers have retried elsewhere meanwhile, so their tasks must neither start nor go on."""
 
     async def scene(system: System) -> None:
         await system.open()
         job = asyncio.ensure_future(system.submit(KEY, 2000))
         await until_true(lambda: len(system.runner.tasks) == 3)
         suspend(seconds)
-        assert (await job).status == NOT_KNOWN
+        assert (await job).status == UNKNOWN_OUTCOME_STATUS
         await until_true(lambda: not system.runner.tasks)
         assert sorted(set(system.runner.stopped)) == sorted(set(system.runner.started))
         assert len(system.runner.started) == 3
@@ -44,7 +44,7 @@
     play(scene, System(BOUNDS))
 
 
-def test_a_short_suspension_ends_nothing(suspend: Callable[[float], None]) -> None:
+def test_short_suspension_stops_no_run(suspend: Callable[[float], None]) -> None:
     async def scene(system: System) -> None:
         await system.open()
         job = asyncio.ensure_future(system.submit(KEY, 900))
--- a/testing/council/test_system.py
+++ b/testing/council/test_system.py
@@ -1,4 +1,4 @@
-"""An entry and a target as they run on the platform, between stand-ins of its runner and store."""
+"""An entry and a target as they run on the platform, with stand-ins for runner and store."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 KEY = "5c0e7a21d94b36f8"
 
 
-def test_a_job_runs_once_and_is_answered() -> None:
+def test_job_runs_once_and_is_answered() -> None:
     async def scene(system: System) -> None:
         await system.open()
         answer = await system.submit(KEY, 100)
@@ -22,7 +22,7 @@
     play(scene)
 
 
-def test_without_a_configuration_nothing_is_taken() -> None:
+def test_jobs_without_a_configuration_are_refused() -> None:
     async def scene(system: System) -> None:
         await until(system.beat)
         await asyncio.sleep(0.3)
@@ -34,8 +34,8 @@
     play(scene)
 
 
-def test_a_request_that_comes_before_the_configuration_waits_a_moment_for_it() -> None:
-    """All hosts are back from a loss of power, and callers come as soon as an entry listens."""
+def test_early_request_waits_for_the_configuration() -> None:
+    """After a power loss, callers may connect before the entry has read its configuration."""
 
     async def scene(system: System) -> None:
         await until(system.beat)
@@ -47,7 +47,7 @@
     play(scene)
 
 
-def test_a_leaving_entry_without_a_configuration_keeps_no_request_waiting(
+def test_leaving_entry_holds_no_early_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(earlyrequests, "HOLD_SECONDS", 1000.0)
@@ -60,7 +60,7 @@
     play(scene)
 
 
-def test_work_goes_on_while_the_store_is_down() -> None:
+def test_jobs_run_while_the_store_is_down() -> None:
     async def scene(system: System) -> None:
         await system.open()
         system.store.status = 503
@@ -71,7 +71,7 @@
     play(scene)
 
 
-def test_a_caller_that_leaves_has_its_tasks_stopped() -> None:
+def test_tasks_are_stopped_when_their_caller_disconnects() -> None:
     async def scene(system: System) -> None:
         await system.open()
         with pytest.raises(NoResponseError):
@@ -82,7 +82,7 @@
     play(scene)
 
 
-def test_a_lost_entrys_tasks_are_stopped_before_its_caller_asks_again(
+def test_tasks_of_a_lost_entry_are_stopped_before_its_caller_retries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scene(system: System) -> None:
@@ -90,18 +90,18 @@
         job = asyncio.ensure_future(system.submit(KEY, 8000))
         await until_true(lambda: len(system.runner.tasks) == 3)
         system.entry_around.cancel()
-        # Nor does it answer what comes over its connections any more, old and new.
+        # The entry also ignores all that arrives over its old and new connections.
         for name in ("accept_frame", "accept_hello"):
             monkeypatch.setattr(system.entry, name, lambda *_: None)
-        began = time.monotonic()
+        started_at = time.monotonic()
         await until_true(lambda: not system.runner.tasks)
-        assert time.monotonic() - began < BOUNDS.resend
+        assert time.monotonic() - started_at < BOUNDS.resend
         job.cancel()
 
     play(scene)
 
 
-def test_a_stopping_entry_is_not_ready_and_finishes_what_it_holds() -> None:
+def test_stopping_entry_is_not_ready_and_finishes_its_jobs() -> None:
     async def scene(system: System) -> None:
         await system.open()
         job = asyncio.ensure_future(system.submit(KEY, 1000))
@@ -116,7 +116,7 @@
     play(scene)
 
 
-def test_a_stopping_target_lets_its_tasks_end() -> None:
+def test_stopping_target_finishes_its_tasks() -> None:
     async def scene(system: System) -> None:
         await system.open()
         job = asyncio.ensure_future(system.submit(KEY, 800))
@@ -129,30 +129,30 @@
     play(scene)
 
 
-def test_a_stopping_entry_refuses_at_once_what_it_cannot_end() -> None:
+def test_stopping_entry_refuses_jobs_that_it_cannot_finish() -> None:
     async def scene(system: System) -> None:
         await system.open()
-        held = asyncio.ensure_future(system.submit("1" * 16, 1500))
+        running_job = asyncio.ensure_future(system.submit("1" * 16, 1500))
         await until_true(lambda: len(system.runner.tasks) == 3)
         system.entry_around.stopping.set()
         await asyncio.sleep(0.1)
-        began = time.monotonic()
-        long = await system.submit("2" * 16, 4000)
-        assert time.monotonic() - began < 0.5
-        assert (long.status, long.headers["retry-after"]) == (503, "0")
-        assert long.headers["connection"] == "close"
+        started_at = time.monotonic()
+        long_job = await system.submit("2" * 16, 4000)
+        assert time.monotonic() - started_at < 0.5
+        assert (long_job.status, long_job.headers["retry-after"]) == (503, "0")
+        assert long_job.headers["connection"] == "close"
         assert (await system.submit("3" * 16, 300)).status == 200
-        assert (await held).status == 200
+        assert (await running_job).status == 200
         assert not [task for task in system.runner.started if task.startswith("2")]
         await asyncio.wait_for(system.entry_run, BOUNDS.grace)
 
     play(scene)
 
 
-def test_a_stopping_entry_ends_kept_connections_once_it_gets_no_new_ones(
+def test_stopping_entry_closes_idle_connections_after_the_balancer_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Callers must not hand in over them what it has no time to end any more."""
+    """Callers must not submit jobs over them that the entry has no time to finish."""
     monkeypatch.setattr("paddleshunt_node.aio.entryservice.BALANCER_DELAY_SECONDS", 0.2)
 
     async def scene(system: System) -> None:
--- a/testing/council/test_withdrawn.py
+++ b/testing/council/test_withdrawn_starts.py
@@ -1,4 +1,4 @@
-"""An order to start that is still on its way out when its right ends is not sent."""
+"""A start that is withdrawn before it leaves must not be sent."""
 
 import asyncio
 import itertools
@@ -17,23 +17,23 @@
 
 KEY = "5c0e7a21d94b36f8"
 
-LEAVERS = 5
-"""Callers that leave in time, in one scene."""
+MIN_LEAVING_CALLERS = 5
+"""Callers that must disconnect in time before the test ends."""
 
 
-class Gate:
-    """A runner's port that holds orders to start until it is opened."""
+class GatedPort:
+    """A runner port that holds starts back until it is opened."""
 
     def __init__(self, port: RunnerPort) -> None:
         self._port = port
         self.waiting = 0
         self.opened = asyncio.Event()
 
-    def expect(self, life: RunnerIncarnation | None) -> None:
-        self._port.expect(life)
+    def expect(self, incarnation: RunnerIncarnation | None) -> None:
+        self._port.expect(incarnation)
 
-    def refine_identity(self, life: RunnerIncarnation) -> None:
-        self._port.refine_identity(life)
+    def refine_identity(self, incarnation: RunnerIncarnation) -> None:
+        self._port.refine_identity(incarnation)
 
     def supersede(self) -> None:
         self._port.supersede()
@@ -50,32 +50,32 @@
         return await self._port.poll(poll)
 
 
-async def caller_leaves(system: System, job: "asyncio.Future[HttpResponse]") -> None:
+async def disconnect_caller(system: System, job: "asyncio.Future[HttpResponse]") -> None:
     job.cancel()
     await until_true(lambda: system.entry.describe()["jobs"] == 0)
 
 
-async def hall_is_evacuated(system: System, job: "asyncio.Future[HttpResponse]") -> None:
+async def evacuate_hall(system: System, job: "asyncio.Future[HttpResponse]") -> None:
     system.store.put("op/evacuate/hall", b"{}")
     await until_true(lambda: bool(system.target.describe()["evacuated_halls"]))
     job.cancel()
 
 
-@pytest.mark.parametrize("ends", [caller_leaves, hall_is_evacuated])
-def test_an_order_whose_right_ends_before_it_is_sent_starts_nothing(
-    ends: Callable[[System, "asyncio.Future[HttpResponse]"], Awaitable[None]],
+@pytest.mark.parametrize("withdraw", [disconnect_caller, evacuate_hall])
+def test_start_that_is_withdrawn_before_it_is_sent_starts_nothing(
+    withdraw: Callable[[System, "asyncio.Future[HttpResponse]"], Awaitable[None]],
 ) -> None:
-    gates: list[Gate] = []
+    gates: list[GatedPort] = []
 
     def gated(port: RunnerPort) -> RunnerPort:
-        gates.append(Gate(port))
+        gates.append(GatedPort(port))
         return gates[0]
 
     async def scene(system: System) -> None:
         await system.open()
         job = asyncio.ensure_future(system.submit(KEY, 500))
         await until_true(lambda: gates[0].waiting == 3)
-        await ends(system, job)
+        await withdraw(system, job)
         await asyncio.sleep(0.1)
         gates[0].opened.set()
         await asyncio.sleep(0.3)
@@ -84,7 +84,7 @@
     play(scene, System(port=gated))
 
 
-def test_an_evacuation_holds_until_it_is_taken_back() -> None:
+def test_evacuation_lasts_until_it_is_ended() -> None:
     async def scene(system: System) -> None:
         await system.open()
         system.store.put("op/evacuate/hall", b"{}")
@@ -97,23 +97,22 @@
     play(scene)
 
 
-def leave_after(address: str, request: bytes, seconds: float) -> float:
-    """Send a request, break the connection after `seconds`, and return how long it took in all."""
+def send_and_reset(address: str, request: bytes, seconds: float) -> float:
+    """Send a request and reset the connection after `seconds`; return the seconds elapsed."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port))) as connection:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        began = time.monotonic()
+        started_at = time.monotonic()
         connection.sendall(request)
         time.sleep(seconds)
-    return time.monotonic() - began
+    return time.monotonic() - started_at
 
 
-@pytest.mark.parametrize("gone_ms", [0, 2], ids=["at_once", "on_its_way"])
-def test_a_job_whose_caller_leaves_as_it_arrives_starts_nothing(gone_ms: int) -> None:
-    """A caller whose connection breaks under its request may send it again at once.
+@pytest.mark.parametrize("delay_ms", [0, 2], ids=["at_once", "on_its_way"])
+def test_job_of_a_caller_that_disconnects_at_once_starts_nothing(delay_ms: int) -> None:
+    """A caller whose connection breaks may send its request again at once.
 
-    The caller has a thread and a clock of its own. A round in which it took longer than the delay
-    that callers are granted is no such case, and is played again.
+    Rounds in which the caller's thread took longer than `caller_delay` are repeated.
     """
 
     async def scene(system: System) -> None:
@@ -123,15 +122,15 @@
         body = json.dumps({"spec": "300", "steps": [step], "best_effort": True}).encode()
         left_in_time: set[str] = set()
         rounds = itertools.count()
-        while len(left_in_time) < LEAVERS:
+        while len(left_in_time) < MIN_LEAVING_CALLERS:
             key = f"{next(rounds):016x}"
             head = (
                 f"POST /q/{key} HTTP/1.1\r\nHost: 127.0.0.1\r\nContent-Length: {len(body)}\r\n\r\n"
             )
-            took = await asyncio.to_thread(
-                leave_after, system.callers, head.encode() + body, gone_ms / 1000
+            elapsed = await asyncio.to_thread(
+                send_and_reset, system.callers, head.encode() + body, delay_ms / 1000
             )
-            if took < system.bounds.caller_delay:
+            if elapsed < system.bounds.caller_delay:
                 left_in_time.add(key)
             await asyncio.sleep(0.1)
         started = {name.partition(".")[0] for name in system.runner.started}
