--- a/testing/council/test_outside.py
+++ b/testing/council/test_decoding.py
@@ -14,14 +14,14 @@
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_council.callers import MAX_TASKS, Callers
 from paddleshunt_council.catalog import CatalogError, read_catalog
-from paddleshunt_council.items import Item, read_entry, read_items
-from paddleshunt_council.outside import (
+from paddleshunt_council.decoding import (
     MAX_LABELS,
     MAX_MEMORY,
     MAX_NUMBER,
     MAX_PROCESSOR,
     is_runner_id,
 )
+from paddleshunt_council.items import Item, read_entry, read_items
 from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
 from paddleshunt_council.replies import read_reply
 from paddleshunt_node.aio.entryvalidation import MAX_NAME_LENGTH
