--- a/testing/council/test_invalid_input.py
+++ b/testing/council/test_invalid_input.py
@@ -52,7 +52,7 @@
         ("i\x85", {}),
     ],
     ids=[
-        "no-room",
+        "no-capacity",
         "negative",
         "huge",
         "state",
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    "number", ["9" * 30, "9" * 400, "-1"], ids=["no-frame-holds-it", "endless", "negative"]
+    "number", ["9" * 30, "9" * 400, "-1"], ids=["too-large-for-a-frame", "huge", "negative"]
 )
 def test_job_with_extreme_numbers_does_not_stop_the_entry(number: str) -> None:
     async def scene(system: System) -> None:
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -38,7 +38,9 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "born"), [(b"", 0), (b"{}", 0), (b'{"born":17}', 17)], ids=["empty", "untold", "told"]
+    ("body", "born"),
+    [(b"", 0), (b"{}", 0), (b'{"born":17}', 17)],
+    ids=["empty", "no-start-time", "start-time"],
 )
 def test_deregistration_is_decoded(body: bytes, born: int) -> None:
     deregistration = read("/paddleshunt/Instances.Deregister/i-7", body)
@@ -86,7 +88,7 @@
 
 CAPACITY = {"cpu": 16000, "mem_mb": 32768, "gpu": 1}
 INVALID_HEARTBEATS = {
-    "unnamed-state": heartbeat_body(state="warming"),
+    "unknown-state": heartbeat_body(state="warming"),
     "no-state": heartbeat_body(state=None),
     "no-capacity": heartbeat_body(capacity=None),
     "empty-capacity": heartbeat_body(capacity={}),
