--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 
 from paddleshunt_core.leased.bounds import Bounds
-from paddleshunt_council.callers import Callers
+from paddleshunt_council.callers import HttpCallerCodec
 from paddleshunt_council.registration import Registration
 from paddleshunt_council.runner import Runner
 from paddleshunt_council.store import Store
@@ -132,7 +132,7 @@
             EntryConfig(
                 "e1", "hall", self.callers, self.ready, self.peers, self._free(), (), self.bounds
             ),
-            Callers(self.entry_around.refuse),
+            HttpCallerCodec(self.entry_around.refuse),
             Store(self.store.address, 1000, self.entry_around.refuse),
             self.entry_around,
         )
--- a/testing/council/test_callers.py
+++ b/testing/council/test_callers.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.outcomes import Completed, Failed, GivenUp, JobOutcome, Refused
 from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_council.callers import MIN_ESTIMATE, Callers
+from paddleshunt_council.callers import MIN_ESTIMATE, HttpCallerCodec
 from paddleshunt_node.aio.httpserver import Request, Response
 from paddleshunt_node.aio.ports import Submission
 
@@ -36,7 +36,7 @@
 
 
 def test_job_is_decoded() -> None:
-    result = Callers().read(request(body=job()), CATALOG)
+    result = HttpCallerCodec().read(request(body=job()), CATALOG)
     assert isinstance(result, Submission)
     assert result.queue.name == "short"
     assert (result.job.key, result.job.spec, result.job.count) == (KEY, "text", 4)
@@ -45,20 +45,20 @@
 
 
 def test_longest_prefix_selects_the_queue() -> None:
-    result = Callers().read(request(path=f"/q/deep/{KEY}", body=job()), CATALOG)
+    result = HttpCallerCodec().read(request(path=f"/q/deep/{KEY}", body=job()), CATALOG)
     assert isinstance(result, Submission)
     assert result.queue.name == "long"
 
 
 def test_placement_constraints_are_decoded() -> None:
     body = job(requirements="a", affinity="r1-3", anti_affinity=2)
-    result = Callers().read(request(body=body), CATALOG)
+    result = HttpCallerCodec().read(request(body=body), CATALOG)
     assert isinstance(result, Submission)
     assert (result.job.label, result.job.rack, result.job.spread) == ("a", "r1-3", 2)
 
 
 def test_negative_spread_and_estimate_count_as_zero() -> None:
-    result = Callers().read(request(body=job(anti_affinity=-2, estimated_ms=-900)), CATALOG)
+    result = HttpCallerCodec().read(request(body=job(anti_affinity=-2, estimated_ms=-900)), CATALOG)
     assert isinstance(result, Submission)
     assert (result.job.spread, result.job.estimate) == (0, MIN_ESTIMATE)
 
@@ -97,7 +97,7 @@
     ],
 )
 def test_other_requests_get_a_response(asked: Request, status: int) -> None:
-    result = Callers().read(asked, CATALOG)
+    result = HttpCallerCodec().read(asked, CATALOG)
     assert isinstance(result, Response)
     assert result.status == status
 
@@ -117,13 +117,13 @@
 def test_outcome_status_and_retry_after(
     outcome: JobOutcome, status: int, retry: str | None
 ) -> None:
-    answer = Callers().answer(outcome)
+    answer = HttpCallerCodec().answer(outcome)
     assert answer.status == status
     assert dict(answer.headers).get("Retry-After") == retry
 
 
 def test_refusal_has_its_reason() -> None:
-    answer = Callers().answer(Refused("too_late", 1.0))
+    answer = HttpCallerCodec().answer(Refused("too_late", 1.0))
     assert msgspec.json.decode(answer.body) == {"reason": "too_late"}
 
 
@@ -164,14 +164,14 @@
     ],
 )
 def test_invalid_request_is_refused(asked: Request) -> None:
-    result = Callers().read(asked, CATALOG)
+    result = HttpCallerCodec().read(asked, CATALOG)
     assert isinstance(result, Response)
     assert result.status == 400
 
 
 def test_refused_request_is_reported_with_its_queue() -> None:
     refused: list[Refusal] = []
-    callers = Callers(refused.append)
+    callers = HttpCallerCodec(refused.append)
     for asked in (raw_request(b"{"), raw_request(VALID_BODY, "soon"), request(body=job(count=0))):
         callers.read(asked, CATALOG)
     assert [(one.kind, one.sender) for one in refused] == 3 * [(InputKind.REQUEST, "short")]
--- a/testing/council/test_decoding.py
+++ b/testing/council/test_decoding.py
@@ -12,7 +12,7 @@
 from paddleshunt_core.leased.catalog import Catalog, Queue
 from paddleshunt_core.leased.orders import RunnerStatus
 from paddleshunt_core.leased.refusals import Refusal
-from paddleshunt_council.callers import MAX_TASKS, Callers
+from paddleshunt_council.callers import MAX_TASKS, HttpCallerCodec
 from paddleshunt_council.catalog import CatalogError, read_catalog
 from paddleshunt_council.decoding import (
     MAX_LABELS,
@@ -203,7 +203,7 @@
     catalog = Catalog(3, [Queue("q", "h", "/q/", "s")], [])
     headers = {"host": "h", "x-deadline-ms": deadline}
     request = Request("POST", "/q/5c0e7a21d94b36f8", headers, body)
-    read = Callers(refused.append).read(request, catalog)
+    read = HttpCallerCodec(refused.append).read(request, catalog)
     if isinstance(read, Submission):
         need = read.job.need
         assert is_within_bounds(need.processor, need.memory) and not refused
