--- a/testing/council/test_decoding.py
+++ b/testing/council/test_decoding.py
@@ -22,7 +22,7 @@
     is_runner_id,
 )
 from paddleshunt_council.items import Item, read_entry, read_items
-from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
+from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, HttpRegistrationCodec
 from paddleshunt_council.replies import read_reply
 from paddleshunt_node.aio.entryvalidation import MAX_NAME_LENGTH
 from paddleshunt_node.aio.httpserver import Request, Response
@@ -172,7 +172,7 @@
 
 def check_heartbeat(body: bytes) -> None:
     refused: list[Refusal] = []
-    read = Registration(refused.append).read(Request("POST", HEARTBEAT + "i-7", {}, body))
+    read = HttpRegistrationCodec(refused.append).read(Request("POST", HEARTBEAT + "i-7", {}, body))
     assert refused or not isinstance(read, Response)
     if isinstance(read, RunnerStatus):
         # Each refusal of an accepted heartbeat is of an optional field, which is left out.
@@ -191,7 +191,7 @@
     refused: list[Refusal] = []
     body = json.dumps(HEARTBEAT_BODY).encode()
     request = Request("POST", path + runner, {}, body)
-    read = Registration(refused.append).read(request)
+    read = HttpRegistrationCodec(refused.append).read(request)
     if isinstance(read, RunnerStatus | RunnerDeregistration):
         assert is_runner_id(read.runner.id) and not refused
     else:
@@ -319,7 +319,7 @@
 @pytest.mark.parametrize(
     "read",
     [
-        lambda raw: Registration().read(Request("POST", HEARTBEAT + "i", {}, raw)),
+        lambda raw: HttpRegistrationCodec().read(Request("POST", HEARTBEAT + "i", {}, raw)),
         lambda raw: read_reply(raw, "i", lambda _: None),
         lambda raw: read_items([msgspec.Raw(raw)], lambda _: None),
     ],
--- a/testing/council/test_registration.py
+++ b/testing/council/test_registration.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.resources import Resources
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
-from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, Registration
+from paddleshunt_council.registration import DEREGISTER, HEARTBEAT, HttpRegistrationCodec
 from paddleshunt_node.aio.httpserver import Request, Response
 from paddleshunt_node.aio.ports import RunnerDeregistration
 
@@ -19,7 +19,7 @@
 
 
 def read(path: str, body: bytes = b"", method: str = "POST") -> object:
-    return Registration().read(Request(method, path, {}, body))
+    return HttpRegistrationCodec().read(Request(method, path, {}, body))
 
 
 def test_heartbeat_is_decoded_to_a_status() -> None:
@@ -140,7 +140,7 @@
 def test_invalid_optional_field_is_refused_alone(field: str, value: object) -> None:
     refused: list[Refusal] = []
     request = Request("POST", HEARTBEAT + "i-7", {}, heartbeat_body(**{field: value}))
-    runner_status = Registration(refused.append).read(request)
+    runner_status = HttpRegistrationCodec(refused.append).read(request)
     assert runner_status == read(HEARTBEAT + "i-7", heartbeat_body(**{field: None}))
     assert isinstance(runner_status, RunnerStatus) and runner_status.leaving
     assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
@@ -172,6 +172,6 @@
 def test_refusal_has_the_runner_and_the_problem() -> None:
     refused: list[Refusal] = []
     request = Request("POST", HEARTBEAT + "i-7", {}, heartbeat_body(state="warming"))
-    Registration(refused.append).read(request)
+    HttpRegistrationCodec(refused.append).read(request)
     assert [(one.kind, one.sender) for one in refused] == [(InputKind.HEARTBEAT, "i-7")]
     assert "warming" in refused[0].problem and "state" in refused[0].problem
