--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -9,7 +9,7 @@
 from paddleshunt_core.leased.bounds import Bounds
 from paddleshunt_council.callers import HttpCallerCodec
 from paddleshunt_council.registration import HttpRegistrationCodec
-from paddleshunt_council.runner import Runner
+from paddleshunt_council.runner import RunnerClient
 from paddleshunt_council.store import Store
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
 from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse
@@ -147,7 +147,7 @@
                 self.bounds,
             ),
             HttpRegistrationCodec(self.target_around.refuse),
-            self.port(Runner(self.runner.address, self.target_around.refuse)),
+            self.port(RunnerClient(self.runner.address, self.target_around.refuse)),
             Store(self.store.address, 1000, self.target_around.refuse),
             self.target_around,
         )
--- a/testing/council/test_incarnations.py
+++ b/testing/council/test_incarnations.py
@@ -4,7 +4,7 @@
 
 import pytest
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
-from paddleshunt_council.runner import Runner
+from paddleshunt_council.runner import RunnerClient
 from standins import RunnerStandIn
 
 
@@ -22,7 +22,7 @@
         standin = FailingRunner()
         await standin.start()
         assert (
-            await Runner(standin.address).is_current_incarnation(RunnerIncarnation("i-0"))
+            await RunnerClient(standin.address).is_current_incarnation(RunnerIncarnation("i-0"))
             is not True
         )
 
@@ -47,7 +47,7 @@
         standin = RunnerStandIn()
         standin.born = answered
         await standin.start()
-        runner = Runner(standin.address)
+        runner = RunnerClient(standin.address)
         runner.expect(RunnerIncarnation("i-1", 5))
         assert await runner.is_current_incarnation(asked) is expected
 
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -19,7 +19,7 @@
 from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunId, TaskId
-from paddleshunt_council.runner import Runner
+from paddleshunt_council.runner import RunnerClient
 from paddleshunt_node.aio import clock
 from paddleshunt_node.aio.httpserver import Exchange, Response
 from paddleshunt_node.aio.ports import OtherIncarnation, Superseded
@@ -40,17 +40,17 @@
     return StartRun(RUN, "spec", now + seconds, "e", now)
 
 
-def run_scene(scene: Callable[[Runner, RunnerStandIn], Awaitable[None]]) -> None:
+def run_scene(scene: Callable[[RunnerClient, RunnerStandIn], Awaitable[None]]) -> None:
     async def run() -> None:
         standin = RunnerStandIn()
         await standin.start()
-        await scene(Runner(standin.address), standin)
+        await scene(RunnerClient(standin.address), standin)
 
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
 def test_no_start_before_the_clock_is_known() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         assert await runner.start(start_order(), always) is StartAnswer.NOT_SENT
         assert standin.calls == []
 
@@ -58,7 +58,7 @@
 
 
 def test_start_sends_name_token_and_deadline_on_runner_clock() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         asked_at = time.monotonic()
         await runner.poll(FIRST_POLL)
         start = start_order(0.5)
@@ -89,7 +89,7 @@
     ],
 )
 def test_answers_to_a_start(status: int, reason: str, answer: StartAnswer) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         standin.status, standin.reason = status, reason
         assert await runner.start(start_order(), always) is answer
@@ -98,7 +98,7 @@
 
 
 def test_a_start_without_an_answer_is_unknown() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         standin.silent = True
         assert await runner.start(start_order(), always) is StartAnswer.UNKNOWN
@@ -109,7 +109,7 @@
 
 
 def test_poll_reads_running_and_finished_runs() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.running = [[NAME, 2, "", 41, 3], ["other", 1, "", 0, 0]]
         standin.finished = [[58, NAME, 1, "done", ""], [59, NAME, 1, "lapsed", ""]]
         answer = await runner.poll(Poll(57, None, 0.0))
@@ -126,7 +126,7 @@
 
 
 def test_another_incarnation_is_detected() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         runner.expect(RunnerIncarnation("i-1"))
         assert isinstance(await runner.poll(FIRST_POLL), PollAnswer)
         standin.life = "i-2"
@@ -137,7 +137,7 @@
 
 
 def test_new_incarnation_resets_the_clock() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         runner.expect(RunnerIncarnation("i-2"))
         assert await runner.start(start_order(), always) is StartAnswer.NOT_SENT
@@ -148,7 +148,7 @@
 def test_token_rises_with_each_incarnation_of_an_id() -> None:
     """The next incarnation must reject late orders to the last one."""
 
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         tokens = []
         incarnations = [("i-1", 20), ("i-1", 10), ("i-2", 30), ("i-1", 40)]
         for name, born in incarnations:
@@ -163,7 +163,7 @@
 
 
 def test_token_rises_when_the_next_incarnation_has_a_start_time() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         tokens = []
         for born in (0, 20):
             runner.expect(RunnerIncarnation("i-1", born))
@@ -176,7 +176,7 @@
 
 
 def test_refined_identity_keeps_clock_and_token() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         runner.expect(RunnerIncarnation("i-1"))
         await runner.poll(FIRST_POLL)
         runner.refine_identity(RunnerIncarnation("i-1", 20))
@@ -187,7 +187,7 @@
 
 
 def test_poll_answer_has_the_start_time() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.born = 17
         answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("silent", [False, True], ids=["answered", "unanswered"])
 def test_poll_is_superseded_by_a_new_expected_incarnation(silent: bool) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.silent = silent
         poll = asyncio.ensure_future(runner.poll(FIRST_POLL))
         await asyncio.sleep(0)
@@ -209,7 +209,7 @@
 
 
 def test_start_with_expired_lease_is_not_sent() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         assert await runner.start(start_order(-0.01), always) is StartAnswer.EXPIRED
         assert [path for path, _ in standin.calls] == ["/paddleshunt/hold"]
@@ -218,7 +218,7 @@
 
 
 def test_poll_with_expired_lease_does_not_renew() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         await runner.poll(Poll(0, time.monotonic() - 0.2, 0.0))
         assert int(str(standin.calls[-1][1]["deadline_ms"])) < standin.clock
@@ -233,7 +233,7 @@
 
 
 def test_clock_estimate_allows_for_a_slow_runner_clock() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         # The runner reads its clock during the poll, on a busy host long before the poll returns.
         asked_at = time.monotonic()
         await runner.poll(FIRST_POLL)
@@ -247,7 +247,7 @@
 
 
 def test_late_clock_reading_does_not_set_the_estimate_back() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         await asyncio.sleep(0.2)
         standin.clock = 4000
@@ -259,7 +259,7 @@
 
 
 def test_undocumented_status_leaves_the_start_unknown() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         standin.status = 500
         assert await runner.start(start_order(), always) is StartAnswer.UNKNOWN
@@ -286,7 +286,7 @@
     async def scene() -> None:
         standin = FencedRunner()
         await standin.start()
-        runner = Runner(standin.address)
+        runner = RunnerClient(standin.address)
         answers = [await runner.poll(FIRST_POLL) for _ in range(12)]
         assert isinstance(answers[-1], PollAnswer)
         assert await runner.start(start_order(), always) is StartAnswer.STARTED
@@ -296,7 +296,7 @@
 
 
 def test_withdrawn_start_is_not_sent() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         calls = len(standin.calls)
         assert await runner.start(start_order(), lambda: False) is StartAnswer.WITHDRAWN
@@ -313,7 +313,7 @@
     """Counting the suspended time, in which the runner's clock may have stopped, is too late."""
     read = clock.now
 
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         await runner.poll(FIRST_POLL)
         monkeypatch.setattr(clock, "now", lambda: read() + seconds)
         now = clock.now()
@@ -340,7 +340,7 @@
 def test_invalid_row_makes_the_answer_partial_and_keeps_the_others(
     row: list[object],
 ) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
         answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
@@ -356,7 +356,7 @@
     ids=["huge-percent", "short", "other-types"],
 )
 def test_row_with_only_a_valid_run_is_listed(row: list[object]) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.running = [row, OTHER_ROW]
         answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
@@ -372,7 +372,7 @@
     ids=["short", "name", "earlier", "no-number"],
 )
 def test_unreadable_end_counts_by_its_number(row: list[object], listed: int) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.finished = [[59, NAME, 1, "done", ""], row]
         answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
@@ -382,7 +382,7 @@
 
 
 def test_end_of_invalid_type_counts_as_stopped() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, ["done"]]]
         answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
@@ -398,7 +398,7 @@
     ids=["short", "empty", "number", "negative", "run"],
 )
 def test_invalid_end_keeps_the_others(row: list[object]) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.finished = [row, [59, NAME, 1, "done", ""]]
         answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
@@ -410,7 +410,7 @@
 
 @pytest.mark.parametrize("name", ["a.b.c.d", "a.0.0.-1", "a.0.0.1_0", "a.0.0." + "9" * 5000, "..."])
 def test_foreign_task_names_are_ignored(name: str) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.running = [[name, 1, "", 5], OTHER_ROW]
         standin.finished = [[7, name, 1, "done", ""]]
         answer = await runner.poll(FIRST_POLL)
@@ -449,7 +449,7 @@
         standin.body = body
         await standin.start()
         refused: list[Refusal] = []
-        runner = Runner(standin.address, refused.append)
+        runner = RunnerClient(standin.address, refused.append)
         runner.expect(RunnerIncarnation("i-1"))
         assert await runner.poll(FIRST_POLL) is None
         assert {(one.kind, one.sender) for one in refused} == {(InputKind.RUNNER_ANSWER, "i-1")}
@@ -459,7 +459,7 @@
 
 @pytest.mark.parametrize("clock_ms", [-5, 10**30, "5000", [], 1.5])
 def test_invalid_clock_is_ignored(clock_ms: object) -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.clock = clock_ms  # type: ignore[assignment]
         assert isinstance(await runner.poll(FIRST_POLL), PollAnswer)
         assert await runner.start(start_order(), always) is StartAnswer.NOT_SENT
@@ -471,7 +471,7 @@
 
 
 def test_unknown_end_counts_as_stopped() -> None:
-    async def scene(runner: Runner, standin: RunnerStandIn) -> None:
+    async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
         standin.finished = [[58, NAME, 1, "evaporated", ""]]
         answer = await runner.poll(FIRST_POLL)
         assert isinstance(answer, PollAnswer)
@@ -486,7 +486,7 @@
     async def scene() -> None:
         standin = FencedRunner()
         await standin.start()
-        removed, following = Runner(standin.address), Runner(standin.address)
+        removed, following = RunnerClient(standin.address), RunnerClient(standin.address)
         while not isinstance(await removed.poll(FIRST_POLL), PollAnswer):
             pass
         await removed.start(start_order(), always)
