--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -10,7 +10,7 @@
 from paddleshunt_council.callers import HttpCallerCodec
 from paddleshunt_council.registration import HttpRegistrationCodec
 from paddleshunt_council.runner import RunnerClient
-from paddleshunt_council.store import Store
+from paddleshunt_council.store import StoreClient
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
 from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse
 from paddleshunt_node.aio.logwriter import LogWriter
@@ -133,7 +133,7 @@
                 "e1", "hall", self.callers, self.ready, self.peers, self._free(), (), self.bounds
             ),
             HttpCallerCodec(self.entry_around.refuse),
-            Store(self.store.address, 1000, self.entry_around.refuse),
+            StoreClient(self.store.address, 1000, self.entry_around.refuse),
             self.entry_around,
         )
         self.target = TargetService(
@@ -148,7 +148,7 @@
             ),
             HttpRegistrationCodec(self.target_around.refuse),
             self.port(RunnerClient(self.runner.address, self.target_around.refuse)),
-            Store(self.store.address, 1000, self.target_around.refuse),
+            StoreClient(self.store.address, 1000, self.target_around.refuse),
             self.target_around,
         )
         self.entry_run = asyncio.ensure_future(self.entry.run())
--- a/testing/council/storescene.py
+++ b/testing/council/storescene.py
@@ -8,7 +8,7 @@
 
 from paddleshunt_core.leased.refusals import RefusalHandler, ignore_refusal
 from paddleshunt_core.leased.wire import EntryAddress
-from paddleshunt_council.store import Store
+from paddleshunt_council.store import StoreClient
 from paddleshunt_node.aio.httpserver import Exchange, Response
 from standins import StoreStandIn
 
@@ -26,7 +26,7 @@
 
 
 def play(
-    scene: Callable[[Store, _StandIn], Awaitable[None]],
+    scene: Callable[[StoreClient, _StandIn], Awaitable[None]],
     standin: _StandIn,
     refuse: RefusalHandler = ignore_refusal,
 ) -> None:
@@ -34,7 +34,7 @@
 
     async def run() -> None:
         await standin.start()
-        await scene(Store(standin.address, 1000, refuse), standin)
+        await scene(StoreClient(standin.address, 1000, refuse), standin)
 
     asyncio.run(asyncio.wait_for(run(), 20))
 
--- a/testing/council/test_catalog.py
+++ b/testing/council/test_catalog.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.catalog import RequestLimits
 from paddleshunt_core.leased.refusals import InputKind, Refusal
 from paddleshunt_council.catalog import CatalogError, read_catalog
-from paddleshunt_council.store import Store
+from paddleshunt_council.store import StoreClient
 from standins import StoreStandIn
 from storescene import config, play
 
@@ -19,7 +19,7 @@
 def test_invalid_configuration_is_refused_with_its_problem() -> None:
     refused: list[Refusal] = []
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", b"{}")
         assert (await store.next_update()).catalog is None
         assert "routes" in refused[0].problem or "version" in refused[0].problem
@@ -115,7 +115,7 @@
 def test_invalid_configuration_does_not_block_a_later_one(raw: bytes) -> None:
     refused: list[Refusal] = []
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         standin.put("op/config", raw)
@@ -131,7 +131,7 @@
 def test_older_configuration_is_refused() -> None:
     refused: list[Refusal] = []
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(8))
         await store.next_update()
         standin.put("op/config", config(5))
--- a/testing/council/test_items.py
+++ b/testing/council/test_items.py
@@ -3,7 +3,7 @@
 import pytest
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.refusals import InputKind, Refusal
-from paddleshunt_council.store import Store
+from paddleshunt_council.store import StoreClient
 from standins import StoreStandIn
 from storescene import ENTRY, config, item, listed, play, raw_store
 
@@ -25,7 +25,7 @@
     page = listed(invalid, item("op/config", config(3)), item("op/evacuate/hall", b"{}"))
     refused: list[Refusal] = []
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         update = await store.next_update()
         assert update.catalog is not None and update.catalog.version == 3
         assert update.evacuated == EvacuatedHalls(7, ("hall",))
@@ -52,7 +52,7 @@
 def test_invalid_address_is_refused_and_the_others_are_kept(invalid: bytes) -> None:
     refused: list[Refusal] = []
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("paddleshunt/entries/e9", invalid)
         await store.announce(ENTRY, 12.0)
         assert await store.entries() == [ENTRY]
@@ -92,7 +92,7 @@
 def test_unreadable_evacuation_item_still_evacuates(known: bool) -> None:
     """The item's key alone tells that the hall is evacuated."""
 
-    async def scene(store: Store, standin: InvalidItemStore) -> None:
+    async def scene(store: StoreClient, standin: InvalidItemStore) -> None:
         standin.put("op/config", config(3))
         if known:
             standin.put("op/evacuate/hall", b"{}")
@@ -110,7 +110,7 @@
 def test_evacuation_without_a_hall_is_refused() -> None:
     refused: list[Refusal] = []
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         standin.put("op/evacuate/", b"{}")
         update = await store.next_update()
@@ -121,7 +121,7 @@
 
 
 def test_unreadable_event_causes_a_full_read() -> None:
-    async def scene(store: Store, standin: InvalidItemStore) -> None:
+    async def scene(store: StoreClient, standin: InvalidItemStore) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         standin.invalid = "op/evacuate/hall"
@@ -135,7 +135,7 @@
 
 
 def test_evacuation_ends_beside_an_unreadable_item() -> None:
-    async def scene(store: Store, standin: KeylessStore) -> None:
+    async def scene(store: StoreClient, standin: KeylessStore) -> None:
         standin.put("op/config", config(3))
         standin.put("op/evacuate/hall", b"{}")
         standin.put("op/invalid", b"{}")
@@ -149,7 +149,7 @@
 
 
 def test_item_with_a_future_revision_hides_no_later_event() -> None:
-    async def scene(store: Store, standin: AheadRevisionStore) -> None:
+    async def scene(store: StoreClient, standin: AheadRevisionStore) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         standin.put("op/evacuate/ahead", b"{}")
--- a/testing/council/test_store.py
+++ b/testing/council/test_store.py
@@ -5,14 +5,14 @@
 
 import pytest
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
-from paddleshunt_council.store import Store
+from paddleshunt_council.store import StoreClient
 from paddleshunt_node.aio.ports import OperatorUpdate, StoreUnavailableError
 from standins import StoreStandIn
 from storescene import ENTRY, config, item, listed, play, raw_store
 
 
 def test_configuration_is_read_and_watched() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         assert (await store.next_update()).catalog is None
         standin.put("op/config", config(3))
         first = (await store.next_update()).catalog
@@ -27,7 +27,7 @@
 
 
 def test_compacted_history_causes_a_full_read() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         standin.put("op/config", config(4))
@@ -39,7 +39,7 @@
 
 
 def test_evacuations_are_read_and_watched() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/evacuate/depot", b"{}")
         standin.put("op/config", config(3))
         first = await store.next_update()
@@ -56,7 +56,7 @@
 
 
 def test_full_read_ends_evacuations_that_were_removed() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         standin.put("op/evacuate/hall", b"{}")
         await store.next_update()
@@ -69,7 +69,7 @@
 
 
 def test_watch_without_events_keeps_its_revision() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         before = standin.revision
@@ -85,7 +85,7 @@
 
 
 def test_all_pages_are_read() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.page = 1
         standin.put("op/config", config(3))
         standin.put("op/evacuate/depot", b"{}")
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("status", [429, 503])
 def test_rejected_call_raises_store_unavailable(status: int) -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.status = status
         with pytest.raises(StoreUnavailableError, match=str(status)):
             await store.next_update()
@@ -107,7 +107,7 @@
 
 
 def test_address_is_put_again_when_its_lease_expires() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         await store.announce(ENTRY, 12.0)
         assert await store.entries() == [ENTRY]
         await store.announce(ENTRY, 12.0)
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("lease_too", [True, False], ids=["lease-revoked", "keys-alone"])
 def test_removed_address_is_restored_by_the_next_announcement(*, lease_too: bool) -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         await store.announce(ENTRY, 12.0)
         standin.take_keys(lease_too=lease_too)
         assert await store.entries() == []
@@ -140,7 +140,7 @@
 def test_address_is_put_again_after_a_failed_call() -> None:
     """A stale read may still show a key that was removed while calls failed."""
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         await store.announce(ENTRY, 12.0)
@@ -158,7 +158,7 @@
 
 
 def test_renewal_needs_no_write_and_only_stale_reads() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         await store.announce(ENTRY, 12.0)
         standin.calls.clear()
         for _ in range(5):
@@ -176,7 +176,7 @@
 def test_lease_that_expires_before_the_put_raises() -> None:
     """The caller then retries soon, as the address isn't published."""
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.grants_over = True
         with pytest.raises(StoreUnavailableError):
             await store.announce(ENTRY, 12.0)
@@ -188,7 +188,7 @@
 
 
 def test_store_without_configuration_is_polled_slowly() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         loop = asyncio.get_running_loop()
         end = loop.time() + 0.5
         while loop.time() < end:
@@ -228,7 +228,7 @@
     ],
 )
 def test_unreadable_page_raises_store_unavailable(page: bytes) -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         with pytest.raises(StoreUnavailableError, match="unreadable"):
             await store.next_update()
         with pytest.raises(StoreUnavailableError, match="unreadable"):
@@ -247,7 +247,7 @@
         def _kv_range(self, asked: dict[str, object], path: str) -> tuple[int, object]:
             return 200, json.loads(pages[0])
 
-    async def scene(store: Store, standin: OddStore) -> None:
+    async def scene(store: StoreClient, standin: OddStore) -> None:
         assert (await store.next_update()).evacuated == EvacuatedHalls(7, ("hall",))
         del pages[0]
         standin.history_gone = True
@@ -260,7 +260,7 @@
 
 
 def test_empty_store_may_omit_its_items() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         assert (await store.next_update()).evacuated == EvacuatedHalls(1, ())
         assert await store.entries() == []
 
@@ -279,7 +279,7 @@
         def _kv_watch(self, asked: dict[str, object], path: str) -> tuple[int, object]:
             return 200, answer
 
-    async def scene(store: Store, standin: StuckStore) -> None:
+    async def scene(store: StoreClient, standin: StuckStore) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         with pytest.raises(StoreUnavailableError, match="revision"):
--- a/testing/council/test_store_outage.py
+++ b/testing/council/test_store_outage.py
@@ -7,7 +7,7 @@
 from paddleshunt_core.leased.catalog import EMPTY, Catalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.wire import EntryAddress
-from paddleshunt_council.store import ENTRIES_PREFIX, Store
+from paddleshunt_council.store import ENTRIES_PREFIX, StoreClient
 from paddleshunt_node.aio import storefollower
 from paddleshunt_node.aio.logwriter import LogWriter
 from paddleshunt_node.aio.metrics import Metrics
@@ -60,7 +60,7 @@
     await store.listen("e1", ("127.0.0.1", port))
     store.put("op/config", CONFIG)
     context = ProcessContext(LogWriter("error"), Metrics())
-    client = Store(f"127.0.0.1:{port}", 1000)
+    client = StoreClient(f"127.0.0.1:{port}", 1000)
     follower = StoreFollower(client, context, ENTRY, EntryOwner())
     loops = (store.run(), follower.follow(), follower.announce())
     tasks = [asyncio.ensure_future(loop) for loop in loops]
