--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
@@ -139,7 +139,7 @@
             return {"header": self.header(), "kvs": found, "count": str(len(found))}
 
     def txn(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Serve `kv/txn` with compares of `MOD`, `VERSION` or `CREATE` that must be equal."""
+        """Serve `kv/txn` with compares of `MOD` or `VERSION` for equality."""
         with self._changed:
             succeeded = all(self._matches(compare) for compare in request.get("compare", []))
             operations = request.get("success" if succeeded else "failure", [])
--- a/testing/council/test_runner.py
+++ b/testing/council/test_runner.py
@@ -35,7 +35,7 @@
 
 
 def start_order(seconds: float = 0.5) -> StartRun:
-    """Return an order whose lease ends so many seconds from now."""
+    """Return an order whose lease ends in `seconds`."""
     now = time.monotonic()
     return StartRun(RUN, "spec", now + seconds, "e", now)
 
@@ -310,7 +310,7 @@
 def test_clock_estimate_ignores_time_while_the_host_was_suspended(
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Counting the suspended time, in which the runner's clock may have stopped, is too late."""
+    """A deadline that counts the suspended time is too late if the runner's clock stopped too."""
     read = clock.now
 
     async def scene(runner: RunnerClient, standin: RunnerStandIn) -> None:
