--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -134,7 +134,7 @@
         """The outcome of new jobs while this host's link is overloaded; None to admit them."""
 
     @property
-    def jobs(self) -> int:
+    def job_count(self) -> int:
         """Number of admitted jobs that are not answered yet."""
         return len(self._jobs)
 
@@ -144,7 +144,7 @@
         return any(not job.caller_confirmed for job in self._jobs.all())
 
     @property
-    def confined_queues(self) -> int:
+    def confined_queue_count(self) -> int:
         """Number of queues confined to a few targets because their tasks crash runners."""
         return len(self._containment)
 
@@ -420,7 +420,7 @@
         if self._containment.depends_on_time:
             effects += self._containment.follow(now, self._open_targets(), self._snapshot(now))
         effects += self._place(now)
-        snapshot = self._snapshot(now) if self.confined_queues else None
+        snapshot = self._snapshot(now) if self.confined_queue_count else None
         for job in self._jobs.all():
             effects += self._check_job(now, job, snapshot)
         return effects
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -55,7 +55,7 @@
     """When that request was sent."""
     busy_since: float = 0.0
     """When it was last sent a run while it had none of this entry."""
-    asked_at: float | None = None
+    awaited_since: float | None = None
     """Since when it must confirm that it lives; None if it need not."""
     confirmation_seconds: float = 0.0
     """Seconds that its last confirmation took."""
@@ -81,7 +81,7 @@
     def reset(self) -> None:
         """Clear the state that belongs to an ended session."""
         self.report = None
-        self.asked_at = None
+        self.awaited_since = None
         self.request_key = ""
         self.unreported.clear()
         self.in_transit = NO_RESOURCES
@@ -126,15 +126,15 @@
         """Record that a message of the target has come, which also confirms that it lives."""
         self.last_received = now
         self.unconfirmed = False
-        if self.asked_at is not None:
-            self.confirmation_seconds = now - self.asked_at
-            self.asked_at = None
+        if self.awaited_since is not None:
+            self.confirmation_seconds = now - self.awaited_since
+            self.awaited_since = None
 
     def is_fresh(self, now: float, times: LeaseTimes) -> bool:
         """Whether it is connected and its last message is recent enough to send it tasks."""
         if not self.connected or self.unconfirmed:
             return False
-        if self.asked_at is not None:
+        if self.awaited_since is not None:
             return True
         silence = now - max(self.last_received, self.busy_since)
         return silence <= (times.max_silence if self.placed else times.max_idle_silence)
@@ -175,7 +175,7 @@
             "report": self.report,
             "placed": len(self.placed),
             "held": len(self.held),
-            "asked_ms": round((now - self.asked_at) * 1000) if self.asked_at else 0,
+            "asked_ms": round((now - self.awaited_since) * 1000) if self.awaited_since else 0,
             "answered": not self.unconfirmed,
             "deviation": round(self.deviation, 2),
         }
--- a/testing/council/councilsystem.py
+++ b/testing/council/councilsystem.py
@@ -7,10 +7,10 @@
 from contextlib import asynccontextmanager
 
 from paddleshunt_core.leased.bounds import Bounds
-from paddleshunt_council.callers import Callers
-from paddleshunt_council.registration import Registration
-from paddleshunt_council.runner import Runner
-from paddleshunt_council.store import Store
+from paddleshunt_council.callers import HttpCallerCodec
+from paddleshunt_council.registration import HttpRegistrationCodec
+from paddleshunt_council.runner import RunnerClient
+from paddleshunt_council.store import StoreClient
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
 from paddleshunt_node.aio.httpclient import CallError, HttpClient, HttpResponse
 from paddleshunt_node.aio.logwriter import LogWriter
@@ -132,8 +132,8 @@
             EntryConfig(
                 "e1", "hall", self.callers, self.ready, self.peers, self._free(), (), self.bounds
             ),
-            Callers(self.entry_around.refuse),
-            Store(self.store.address, 1000, self.entry_around.refuse),
+            HttpCallerCodec(self.entry_around.refuse),
+            StoreClient(self.store.address, 1000, self.entry_around.refuse),
             self.entry_around,
         )
         self.target = TargetService(
@@ -146,9 +146,9 @@
                 self.seeds,
                 self.bounds,
             ),
-            Registration(self.target_around.refuse),
-            self.port(Runner(self.runner.address, self.target_around.refuse)),
-            Store(self.store.address, 1000, self.target_around.refuse),
+            HttpRegistrationCodec(self.target_around.refuse),
+            self.port(RunnerClient(self.runner.address, self.target_around.refuse)),
+            StoreClient(self.store.address, 1000, self.target_around.refuse),
             self.target_around,
         )
         self.entry_run = asyncio.ensure_future(self.entry.run())
--- a/testing/council/test_store.py
+++ b/testing/council/test_store.py
@@ -1,18 +1,18 @@
-"""The store's client, against its stand-in."""
+"""Tests of the store client against a stand-in of the store."""
 
 import asyncio
 import json
 
 import pytest
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
-from paddleshunt_council.store import Store
+from paddleshunt_council.store import StoreClient
 from paddleshunt_node.aio.ports import OperatorUpdate, StoreUnavailableError
 from standins import StoreStandIn
 from storescene import ENTRY, config, item, listed, play, raw_store
 
 
-def test_the_configuration_is_read_and_followed() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_configuration_is_read_and_watched() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         assert (await store.next_update()).catalog is None
         standin.put("op/config", config(3))
         first = (await store.next_update()).catalog
@@ -26,8 +26,8 @@
     play(scene, StoreStandIn())
 
 
-def test_a_forgotten_history_is_read_anew() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_compacted_history_causes_a_full_read() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         standin.put("op/config", config(4))
@@ -38,8 +38,8 @@
     play(scene, StoreStandIn())
 
 
-def test_evacuations_come_with_the_configuration_and_are_followed() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_evacuations_are_read_and_watched() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/evacuate/depot", b"{}")
         standin.put("op/config", config(3))
         first = await store.next_update()
@@ -55,21 +55,21 @@
     play(scene, StoreStandIn())
 
 
-def test_an_evacuation_taken_back_behind_a_forgotten_history_is_known_by_its_absence() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_full_read_ends_evacuations_that_were_removed() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         standin.put("op/evacuate/hall", b"{}")
         await store.next_update()
         standin.remove("op/evacuate/hall")
         standin.history_gone = True
-        word = await store.next_update()
-        assert word.evacuated == EvacuatedHalls(standin.revision, ())
+        update = await store.next_update()
+        assert update.evacuated == EvacuatedHalls(standin.revision, ())
 
     play(scene, StoreStandIn())
 
 
-def test_a_watch_that_heard_nothing_does_not_move_on() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_watch_without_events_keeps_its_revision() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         before = standin.revision
@@ -84,21 +84,21 @@
     play(scene, StoreStandIn())
 
 
-def test_a_long_list_is_read_to_its_end() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_all_pages_are_read() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.page = 1
         standin.put("op/config", config(3))
         standin.put("op/evacuate/depot", b"{}")
         standin.put("op/evacuate/hall", b"{}")
-        word = await store.next_update()
-        assert word.evacuated is not None and word.evacuated.halls == ("depot", "hall")
+        update = await store.next_update()
+        assert update.evacuated is not None and update.evacuated.halls == ("depot", "hall")
 
     play(scene, StoreStandIn())
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_a_store_that_turns_calls_away_is_unavailable(status: int) -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_rejected_call_raises_store_unavailable(status: int) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.status = status
         with pytest.raises(StoreUnavailableError, match=str(status)):
             await store.next_update()
@@ -106,8 +106,8 @@
     play(scene, StoreStandIn())
 
 
-def test_entries_are_announced_under_a_lease_and_again_when_it_is_over() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_address_is_put_again_when_its_lease_expires() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         await store.announce(ENTRY, 12.0)
         assert await store.entries() == [ENTRY]
         await store.announce(ENTRY, 12.0)
@@ -126,10 +126,8 @@
 
 
 @pytest.mark.parametrize("lease_too", [True, False], ids=["lease-revoked", "keys-alone"])
-def test_an_address_that_was_taken_away_unseen_is_back_with_the_next_call(
-    *, lease_too: bool
-) -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_removed_address_is_restored_by_the_next_announcement(*, lease_too: bool) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         await store.announce(ENTRY, 12.0)
         standin.take_keys(lease_too=lease_too)
         assert await store.entries() == []
@@ -139,10 +137,10 @@
     play(scene, StoreStandIn())
 
 
-def test_an_address_is_put_anew_after_any_call_that_failed() -> None:
-    """A stale read may still show a key that went while this host was turned away."""
+def test_address_is_put_again_after_a_failed_call() -> None:
+    """A stale read may still show a key that was removed while calls failed."""
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         await store.announce(ENTRY, 12.0)
@@ -159,8 +157,8 @@
     play(scene, StoreStandIn())
 
 
-def test_keeping_an_address_costs_no_write_and_no_dear_read() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_renewal_needs_no_write_and_only_stale_reads() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         await store.announce(ENTRY, 12.0)
         standin.calls.clear()
         for _ in range(5):
@@ -175,10 +173,10 @@
     play(scene, StoreStandIn())
 
 
-def test_an_address_that_could_not_be_put_is_told() -> None:
-    """The lease may be over before its key is put: the caller then tries again soon."""
+def test_lease_that_expires_before_the_put_raises() -> None:
+    """The caller then retries soon, as the address isn't published."""
 
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         standin.grants_over = True
         with pytest.raises(StoreUnavailableError):
             await store.announce(ENTRY, 12.0)
@@ -189,8 +187,8 @@
     play(scene, StoreStandIn())
 
 
-def test_a_store_without_a_configuration_is_not_asked_all_the_time() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_store_without_configuration_is_polled_slowly() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         loop = asyncio.get_running_loop()
         end = loop.time() + 0.5
         while loop.time() < end:
@@ -229,8 +227,8 @@
         "bytes",
     ],
 )
-def test_a_page_that_can_not_be_read_is_a_store_that_is_away(page: bytes) -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_unreadable_page_raises_store_unavailable(page: bytes) -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         with pytest.raises(StoreUnavailableError, match="unreadable"):
             await store.next_update()
         with pytest.raises(StoreUnavailableError, match="unreadable"):
@@ -242,14 +240,14 @@
 @pytest.mark.parametrize(
     "page", [b'{"at":9}', listed(more=True), b'{"at":9,"more":true}'], ids=["bare", "more", "both"]
 )
-def test_only_a_list_takes_an_evacuation_back(page: bytes) -> None:
+def test_page_without_list_ends_no_evacuation(page: bytes) -> None:
     pages = [listed(item("op/config", config(3)), item("op/evacuate/hall", b"{}")), page]
 
     class OddStore(StoreStandIn):
         def _kv_range(self, asked: dict[str, object], path: str) -> tuple[int, object]:
             return 200, json.loads(pages[0])
 
-    async def scene(store: Store, standin: OddStore) -> None:
+    async def scene(store: StoreClient, standin: OddStore) -> None:
         assert (await store.next_update()).evacuated == EvacuatedHalls(7, ("hall",))
         del pages[0]
         standin.history_gone = True
@@ -261,8 +259,8 @@
     play(scene, OddStore())
 
 
-def test_a_new_store_may_leave_out_that_it_is_empty() -> None:
-    async def scene(store: Store, standin: StoreStandIn) -> None:
+def test_empty_store_may_omit_its_items() -> None:
+    async def scene(store: StoreClient, standin: StoreStandIn) -> None:
         assert (await store.next_update()).evacuated == EvacuatedHalls(1, ())
         assert await store.entries() == []
 
@@ -274,14 +272,14 @@
     [{"events": [{}]}, {"events": [5], "at": 0}, {"events": [{"key": "op/x", "revision": 1}]}],
     ids=["no-key", "no-item", "old"],
 )
-def test_events_without_a_revision_are_not_asked_for_all_the_time(
+def test_events_without_a_new_revision_raise(
     answer: dict[str, object],
 ) -> None:
     class StuckStore(StoreStandIn):
         def _kv_watch(self, asked: dict[str, object], path: str) -> tuple[int, object]:
             return 200, answer
 
-    async def scene(store: Store, standin: StuckStore) -> None:
+    async def scene(store: StoreClient, standin: StuckStore) -> None:
         standin.put("op/config", config(3))
         await store.next_update()
         with pytest.raises(StoreUnavailableError, match="revision"):
