--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
@@ -51,9 +51,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class BroadcastLoss:
-    """Send news of a runner's loss to all other entries."""
+    """Send an update on the loss of a runner to all other entries."""
 
-    news: LossUpdate
+    update: LossUpdate
 
 
 JobOutcome = Completed | Failed | Refused | GivenUp
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
@@ -17,7 +17,7 @@
         for queues in self._by_host.values():
             queues.sort(key=lambda queue: len(queue.prefix), reverse=True)
 
-    def is_of(self, catalog: Catalog) -> bool:
+    def is_built_from(self, catalog: Catalog) -> bool:
         """Whether the index was built from this configuration."""
         return self._catalog is catalog
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetless.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/readiness.py
@@ -17,7 +17,7 @@
 
 
 @final
-class Targetless:
+class Readiness:
     """The numbers of targets of one entry and of the other entries."""
 
     def __init__(self) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -14,10 +14,10 @@
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.linkpressure import PressureLevel
 from paddleshunt_core.leased.outcomes import AnswerJob, BroadcastLoss, Completed, Refused
+from paddleshunt_core.leased.readiness import Readiness
 from paddleshunt_core.leased.refusals import Refusal
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.speeds import Speeds
-from paddleshunt_core.leased.targetless import Targetless
 from paddleshunt_core.leased.wire import (
     Entries,
     EntryAddress,
@@ -135,7 +135,7 @@
         self._answers_timer: asyncio.TimerHandle | None = None
         self._leaving = False
         self._started_at = self._now()
-        self._targetless = Targetless()
+        self._readiness = Readiness()
         self._unready_since = float("inf")
         """When the readiness check began to fail because of the overloaded link."""
 
@@ -221,7 +221,7 @@
             return False
         if self._turns_away(self._now()):
             return False
-        if self._targetless.should_be_unready(self._now()):
+        if self._readiness.should_be_unready(self._now()):
             return False
         return (
             bool(self._target_links)
@@ -270,7 +270,7 @@
                 self._context.log(effect)
                 self._context.metrics.event(effect.event)
             elif isinstance(effect, BroadcastLoss):
-                self._peers.broadcast_loss(effect.news)
+                self._peers.broadcast_loss(effect.update)
             else:
                 self._answer(effect)
         if flush:
@@ -383,7 +383,7 @@
 
     def receive_target_count(self, targets: int, source: str) -> None:
         """Record how many targets another entry is connected to."""
-        self._targetless.record_peer_count(self._now(), source, targets)
+        self._readiness.record_peer_count(self._now(), source, targets)
 
     @property
     def evacuations(self) -> Evacuations:
@@ -464,7 +464,7 @@
         while True:
             self._meter.sample_when_due(self._now())
             self._apply_link_pressure()
-            self._targetless.record_own_count(self._now(), len(self._target_links))
+            self._readiness.record_own_count(self._now(), len(self._target_links))
             self._act(self._dispatcher.tick(self._now()))
             self._flush()
             if self._dispatcher.has_new_jobs:
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -396,7 +396,7 @@
     dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     lost = RunnerLost(LossId("i-1", 900), [TaskId("job", 0, 0)], ["q"], [100])
     from_target = dispatcher.handle_loss_update(1.0, lost, "t")
-    assert [effect.news for effect in from_target if isinstance(effect, BroadcastLoss)] == [lost]
+    assert [effect.update for effect in from_target if isinstance(effect, BroadcastLoss)] == [lost]
     assert dispatcher.handle_loss_update(1.0, lost, "t") == []
     other = RunnerLost(LossId("i-2", 900), [TaskId("job", 0, 0)], ["q"], [100])
     from_entry = dispatcher.handle_loss_update(1.0, other, "e1")
--- a/testing/core/leased/test_queueindex.py
+++ b/testing/core/leased/test_queueindex.py
@@ -36,5 +36,5 @@
 
 def test_is_of_compares_the_identity_of_the_configuration() -> None:
     index = QueueIndex(CATALOG)
-    assert index.is_of(CATALOG)
-    assert not index.is_of(Catalog(1, [], []))
+    assert index.is_built_from(CATALOG)
+    assert not index.is_built_from(Catalog(1, [], []))
--- a/testing/core/leased/test_targetless.py
+++ b/testing/core/leased/test_readiness.py
@@ -3,17 +3,17 @@
 from itertools import pairwise
 
 import pytest
-from paddleshunt_core.leased.targetless import (
+from paddleshunt_core.leased.readiness import (
     PEER_COUNT_SECONDS,
     READY_AFTER_SECONDS,
     UNREADY_AFTER_SECONDS,
-    Targetless,
+    Readiness,
 )
 
 
-def lost(at: float = 10.0, others: int = 40) -> Targetless:
+def lost(at: float = 10.0, others: int = 40) -> Readiness:
     """Return the state of an entry that has lost its targets while another one has `others`."""
-    state = Targetless()
+    state = Readiness()
     state.record_own_count(at - 5.0, 43)
     state.record_own_count(at, 0)
     state.record_peer_count(at, "e1", others)
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("others", [0, None], ids=["others-have-none", "others-unknown"])
 def test_an_entry_stays_ready_if_no_other_is_known_to_have_targets(others: int | None) -> None:
-    state = Targetless()
+    state = Readiness()
     state.record_own_count(5.0, 43)
     state.record_own_count(10.0, 0)
     if others is not None:
@@ -43,7 +43,7 @@
 
 
 def test_a_starting_entry_without_targets_stays_ready() -> None:
-    state = Targetless()
+    state = Readiness()
     state.record_own_count(1.0, 0)
     state.record_peer_count(1.0, "e1", 43)
     assert not state.should_be_unready(5.0)
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -497,7 +497,7 @@
         for other, node in self.entries.items():
             if other != name and node.moves:
                 dispatcher = self.dispatchers[other]
-                self._act_entry(other, dispatcher.handle_loss_update(self.now, effect.news, name))
+                self._act_entry(other, dispatcher.handle_loss_update(self.now, effect.update, name))
 
     def _tell_speeds(self) -> None:
         for name, node in self.entries.items():
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -12,8 +12,8 @@
 from paddleshunt_core.leased.jobs import JobRequest
 from paddleshunt_core.leased.linkpressure import LinkSample, PressureLevel
 from paddleshunt_core.leased.outcomes import JobOutcome, Refused
+from paddleshunt_core.leased.readiness import UNREADY_AFTER_SECONDS
 from paddleshunt_core.leased.resources import Resources
-from paddleshunt_core.leased.targetless import UNREADY_AFTER_SECONDS
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_node.aio import entryservice, linkmeter
 from paddleshunt_node.aio.entryservice import EntryConfig, EntryService
