--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/admission.py
@@ -20,7 +20,7 @@
 """Minimum seconds after which a refused caller is asked to retry."""
 
 MIN_LENGTH_FACTOR = 0.4
-"""Part of its expected length that a task takes at least."""
+"""Smallest part of its expected length that a task is assumed to take."""
 
 
 def refusal(
@@ -43,9 +43,9 @@
 
 
 def expected_wait(
-    job: JobRecord, usable: Iterable[TargetRecord], held: Iterable[JobRecord]
+    job: JobRecord, usable: Iterable[TargetRecord], competing_jobs: Iterable[JobRecord]
 ) -> float:
-    """Return how many seconds the job's tasks would wait for capacity, behind the jobs `held`.
+    """Return the seconds that a job's tasks would wait for capacity, behind more urgent jobs.
 
     Without a target that is large enough, return `NO_TARGET_WAIT`: one may connect soon.
     """
@@ -58,12 +58,12 @@
     capacity = sum(
         t.report.capacity.processor / t.kind_factor * typical_slowness for t in eligible if t.report
     )
-    ahead = sum(
+    work_ahead = sum(
         other.request.need.processor * other.length * len(other.waiting())
-        for other in held
+        for other in competing_jobs
         if other.start_by <= job.start_by
     )
-    return ahead / max(1, capacity)
+    return work_ahead / max(1, capacity)
 
 
 def capacity_log(now: float, job: JobRecord, wait: float, snapshot: TargetSnapshot) -> Log:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/assigner.py
@@ -47,7 +47,7 @@
         return logs
 
     def _may_place(self, now: float, job: JobRecord, snapshot: TargetSnapshot) -> bool:
-        """Whether a job may have a target now, checked without visiting each target."""
+        """Whether to choose targets for a job now, decided without visiting each target."""
         if not snapshot.may_fit(job.queue.service, job.request.need) or self._containment.must_wait(
             job
         ):
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -173,8 +173,6 @@
             "targets": {t.name: t.describe(now) for t in self._targets.values()},
         }
 
-    # Callers.
-
     def submit(self, now: float, caller: int, request: JobRequest, queue: Queue) -> list[Effect]:
         """Admit a job, or refuse it."""
         effects = self._handle_pause(now)
@@ -192,13 +190,13 @@
         job.caller_confirmed = self._caller_delay == 0
         given_up = self._retries.outcome_on_submit(now, job)
         if given_up is not None:
-            why = self._retries.given_up_log(job, given_up)
-            return [*effects, why, AnswerJob(caller, request.key, given_up, 0.0)]
+            log = self._retries.given_up_log(job, given_up)
+            return [*effects, log, AnswerJob(caller, request.key, given_up, 0.0)]
         snapshot = self._snapshot(now)
         effects += self._containment.set_service(now, queue, self._open_targets)
-        confined = self._containment.refusal_delay(job, snapshot)
-        if confined is not None:
-            refused_confined = Refused("confined", max(RETRY_SECONDS, confined))
+        confined_delay = self._containment.refusal_delay(job, snapshot)
+        if confined_delay is not None:
+            refused_confined = Refused("confined", max(RETRY_SECONDS, confined_delay))
             return [*effects, self._refuse(caller, request, refused_confined)]
         fits_now = has_capacity(job, self._usable(job, snapshot))
         wait = 0.0 if fits_now else self._expected_wait(job, snapshot)
@@ -212,8 +210,8 @@
             return [*effects, self._refuse(caller, request, leaving)]
         refused = refusal(now, job, wait, self._last_start(now, job), has_capacity=fits_now)
         if refused is not None:
-            why = capacity_log(now, job, wait, snapshot)
-            return [*effects, why, self._refuse(caller, request, refused)]
+            log = capacity_log(now, job, wait, snapshot)
+            return [*effects, log, self._refuse(caller, request, refused)]
         self._jobs.add(job)
         fields: dict[str, str | int | float] = {
             "queue": queue.name,
@@ -246,8 +244,6 @@
         outcome = GivenUp("came_again")
         return AnswerJob(previous, job.request.key, outcome, now - job.arrived)
 
-    # Evacuations.
-
     @property
     def evacuations(self) -> Evacuations:
         """The known evacuated halls."""
@@ -264,26 +260,24 @@
                 target.session.send(EvacuationUpdate(self._evacuations.known))
         return [evacuation_log(self._evacuations, source), *self._place(now)]
 
-    # Lost runners.
-
     def known_losses(self, now: float) -> list[LossUpdate]:
         """Return the remembered losses of runners, to send to an entry that has just connected."""
         return self._retries.known_losses(now)
 
-    def handle_loss_update(self, now: float, news: LossUpdate, source: str) -> list[Effect]:
-        """Record news of a lost runner, and give up jobs that have used up their retries.
+    def handle_loss_update(self, now: float, update: LossUpdate, source: str) -> list[Effect]:
+        """Record an update on a lost runner, and give up jobs that have used up their retries.
 
-        News from a target is broadcast to the other entries; news from an entry is not, or it would
-        circulate forever.
+        An update from a target is broadcast to the other entries; one from an entry is not, or it
+        would circulate forever.
         """
-        logs = self._retries.learn(now, news, source)
-        is_new, confined = self._containment.learn(now, news, self._open_targets)
+        logs = self._retries.learn(now, update, source)
+        is_new, confined = self._containment.learn(now, update, self._open_targets)
         if not logs and not is_new:
             return []
         effects: list[Effect] = [*logs, *confined]
         if source in self._targets:
-            effects.append(BroadcastLoss(news))
-        tasks = news.tasks if isinstance(news, RunnerLost) else []
+            effects.append(BroadcastLoss(update))
+        tasks = update.tasks if isinstance(update, RunnerLost) else []
         return [*effects, *self._give_up_exhausted(now, {task.job for task in tasks})]
 
     def _give_up_exhausted(self, now: float, keys: set[str]) -> list[Effect]:
@@ -300,25 +294,21 @@
         outcome = self._retries.outcome(now, job)
         if outcome is None:
             return []
-        why = self._retries.given_up_log(job, outcome)
-        return [why, self._answer(now, job, outcome)]
-
-    # Speeds of hosts.
+        log = self._retries.given_up_log(job, outcome)
+        return [log, self._answer(now, job, outcome)]
 
     @property
     def speeds(self) -> Speeds:
         """The known relative speeds of the kinds of hosts."""
         return self._speeds
 
-    def handle_speed_update(self, now: float, news: SpeedUpdate, source: str) -> list[Effect]:
+    def handle_speed_update(self, now: float, update: SpeedUpdate, source: str) -> list[Effect]:
         """Adopt the speeds of kinds of hosts for which another entry has much more data."""
-        adopted = self._speeds.merge(news)
+        adopted = self._speeds.merge(update)
         if adopted:
             self._speeds.refresh(now, self._targets.values())
         return [kind_speed_log(speed, source) for speed in adopted]
 
-    # Targets.
-
     def handle_hello(self, now: float, hello: Hello) -> tuple[Session | None, list[Effect]]:
         """Resume the session that a target's hello names, or open one if it names none.
 
@@ -380,21 +370,24 @@
             return False
         reports = all(isinstance(body, RunnerReport) for body in frame.bodies)
         idle = not target.placed and bool(frame.bodies) and reports
-        pause = self._times.min_idle_reply_interval if idle else self._times.min_reply_interval
-        return now > target.session.renewed_ms / 1000 + pause
+        interval = self._times.min_idle_reply_interval if idle else self._times.min_reply_interval
+        return now > target.session.renewed_ms / 1000 + interval
 
     def next_confirmation_deadline(self) -> float | None:
         """Return when `check_confirmations` is due; None if no target has to confirm."""
         return self._liveness.next_deadline()
 
     def check_confirmations(self, now: float) -> list[Effect]:
-        """Place tasks elsewhere whose target has not confirmed that it lives: none has started."""
+        """Move tasks off targets that have not confirmed in time that they are alive.
+
+        None of these tasks can have started.
+        """
         effects = self._handle_pause(now)
         logs = self._liveness.check(now)
         return [*effects, *logs, *self._place(now)] if logs else effects
 
     def place_new_jobs(self, now: float) -> list[Effect]:
-        """Place new jobs whose callers would have been seen to disconnect by now.
+        """Place new jobs that are old enough for a disconnect of their caller to be known.
 
         Call it only after the disconnects that have already occurred are handled. No other method
         places these jobs.
@@ -409,8 +402,6 @@
         effects = self._handle_pause(now)
         return [*effects, *self._place(now)] if self._placement_due else effects
 
-    # Time.
-
     def tick(self, now: float) -> list[Effect]:
         """Check timeouts, and place waiting tasks."""
         effects = self._handle_pause(now)
@@ -436,10 +427,8 @@
             for job in self._jobs.all()
         ]
 
-    # Internals: callers.
-
     def _refuse(self, caller: int, request: JobRequest, refused: Refused) -> AnswerJob:
-        """Refuse a job, or give it up if an earlier submission of it may have run here."""
+        """Refuse a job, or answer it as given up if an earlier submission may have run here."""
         ran = self._jobs.may_have_run(request.key)
         outcome: JobOutcome = GivenUp(refused.reason) if ran else refused
         return AnswerJob(caller, request.key, outcome, 0.0)
@@ -461,18 +450,18 @@
         if not job.may_have_started and now > last_start:
             snapshot = self._snapshot(now)
             wait = self._expected_wait(job, snapshot)
-            why = capacity_log(now, job, wait, snapshot)
-            return [why, self._give_up(now, job, "no_room", max(RETRY_SECONDS, wait))]
+            log = capacity_log(now, job, wait, snapshot)
+            return [log, self._give_up(now, job, "no_room", max(RETRY_SECONDS, wait))]
         if not job.may_have_started and confined_snapshot is not None:
-            confined = self._containment.refusal_delay(job, confined_snapshot)
-            if confined is not None:
-                return [self._give_up(now, job, "confined", max(RETRY_SECONDS, confined))]
+            confined_delay = self._containment.refusal_delay(job, confined_snapshot)
+            if confined_delay is not None:
+                return [self._give_up(now, job, "confined", max(RETRY_SECONDS, confined_delay))]
         return []
 
     def _last_start(self, now: float, job: JobRecord) -> float:
         """Return the latest start of a job for which there is no free capacity yet.
 
-        It is more generous while targets are still connecting, as capacity is about to appear.
+        It is later while targets are still connecting, as capacity is about to appear.
         """
         return job.useful_start if self._is_settling(now) else job.refuse_after
 
@@ -517,8 +506,6 @@
             effects.append(self._give_up(now, job, "stood_still", RESUME_GRACE_SECONDS))
         return effects
 
-    # Internals: targets.
-
     def _new_session(
         self, now: float, target: TargetRecord, hello: Hello
     ) -> tuple[Session, list[Effect]]:
@@ -643,7 +630,10 @@
     def _handle_failure(
         self, now: float, target: TargetRecord, job: JobRecord, task: TaskRecord
     ) -> list[Effect]:
-        """Count a task's failure if the runner is healthy; retry on another target."""
+        """Avoid the target for the task; count the failure if the runner is healthy.
+
+        The job fails when the failures of a task reach the queue's `max_attempts`.
+        """
         task.avoid.add(target.name)
         if target.report is None or target.report.health is Health.GOOD:
             task.failures += 1
@@ -651,8 +641,6 @@
             return [self._answer(now, job, Failed("attempts"))]
         return self._give_up_if_exhausted(now, job)
 
-    # Internals: placement.
-
     def _snapshot(self, now: float) -> TargetSnapshot:
         return TargetSnapshot(now, self._open_targets(), self._times)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -3,7 +3,7 @@
 Each target ranks the live entries by a hash of both names and holds sessions with the first few
 that it can reach. Entries in its own data hall come first, as traffic between halls is expensive; a
 few sessions are reserved for other halls, which may have too few targets of their own. Each entry
-gets an even share of the targets, and the end of an entry moves only its own sessions.
+gets an even share of the targets, and when an entry ends, only its own sessions move.
 """
 
 from collections import deque
@@ -32,7 +32,7 @@
     def __init__(self, target: str, hall: str = "", sessions: int = MAX_SESSIONS) -> None:
         self._target = target
         self._hall = hall
-        self._near: set[str] = set()
+        self._local: set[str] = set()
         """Names of the entries in the target's own data hall."""
         self._sessions = sessions
         self._known: dict[str, dict[str, EntryAddress]] = {}
@@ -44,24 +44,24 @@
         self._incarnations: dict[str, deque[str]] = {}
 
     def replace_known(self, source: str, entries: list[EntryAddress]) -> None:
-        """Replace the live entries that one source has reported.
-
-        A suspected entry that has restarted is no longer suspected.
-        """
+        """Replace the live entries that one source has reported."""
         self._known[source] = {}
         self.update_known(source, entries, [])
 
     def update_known(self, source: str, joined: list[EntryAddress], gone: list[str]) -> None:
-        """Apply changes to the live entries that one source has reported."""
+        """Apply changes to the live entries that one source has reported.
+
+        A suspected entry that has restarted is no longer suspected.
+        """
         known = self._known.setdefault(source, {})
         for name in gone:
             known.pop(name, None)
         for entry in joined:
             known[entry.name] = entry
             if entry.hall and entry.hall == self._hall:
-                self._near.add(entry.name)
+                self._local.add(entry.name)
             else:
-                self._near.discard(entry.name)
+                self._local.discard(entry.name)
             if self._is_new_incarnation(entry):
                 self._suspected_until.pop(entry.name, None)
         self._ranked = None
@@ -92,16 +92,16 @@
         return [usable[name] for name in self._select(list(usable))]
 
     def sessions_to_keep(self, names: set[str]) -> set[str]:
-        """Return which of the open sessions' entries to keep sessions with."""
+        """Return which of the connected entries `names` to keep sessions with."""
         return set(self._select(sorted(names, key=self._rank_of)))
 
     def _select(self, ranked: list[str]) -> list[str]:
-        """Return the names to hold sessions with; own hall first, a few reserved for others."""
-        near = [name for name in ranked if name in self._near]
-        far = [name for name in ranked if name not in self._near]
-        reserved = min(RESERVED_SESSIONS, len(far)) if near else 0
-        own = near[: self._sessions - reserved]
-        return [*own, *far[: self._sessions - len(own)]]
+        """Return the names to hold sessions with, those in the own hall first."""
+        local = [name for name in ranked if name in self._local]
+        remote = [name for name in ranked if name not in self._local]
+        reserved = min(RESERVED_SESSIONS, len(remote)) if local else 0
+        selected = local[: self._sessions - reserved]
+        return [*selected, *remote[: self._sessions - len(selected)]]
 
     def has_entries(self) -> bool:
         """Whether any source has reported its entries."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -14,13 +14,13 @@
 """Increment of a task's run number after a runner has refused a run as stale."""
 
 PRIORITY_SECONDS = 0.15
-"""Seconds by which each priority level shifts a queue's jobs in the order of starts."""
+"""Seconds by which each unit of a queue's `priority` moves its jobs back in the order of starts."""
 
 LATE_PENALTY_SECONDS = 60.0
 """Seconds by which a late job that has not started is moved back in the order of starts."""
 
 ESTIMATE_ERROR = 0.25
-"""Part of its expected length by which a job may start late and still be tried."""
+"""Assumed relative error of expected lengths; jobs that start late by less may end in time."""
 
 OVERHEAD_SECONDS = 0.02
 """Seconds that a run takes beyond its work on any host: messages, and polling for its end."""
@@ -71,7 +71,7 @@
     phase: TaskPhase = TaskPhase.WAITING
     target: str = ""
     placed_at: float = 0.0
-    """Steady time at which its newest run was sent to its target."""
+    """Monotonic time at which its newest run was sent to its target."""
     failures: int = 0
     losses: int = 0
     """Number of its runs that were lost with their target or its session, for unknown reasons."""
@@ -80,7 +80,7 @@
     ran: bool = False
     """Whether an earlier run of it may have started."""
     avoid: set[str] = field(default_factory=set)
-    """Targets where it failed, was lost or made no progress."""
+    """Targets where a run of it failed, made no progress or was lost with its runner."""
     work: float = 0.0
     """Seconds of work of its successful run, corrected for remote data; 0 if not usable."""
     ran_on: RunnerIncarnation | None = None
@@ -95,7 +95,7 @@
 @final
 @dataclass(slots=True)
 class JobRecord:
-    """One job and its caller. Times are in seconds of the steady clock."""
+    """One job and its caller. Times are in seconds of the monotonic clock."""
 
     caller: int
     request: JobRequest
@@ -150,7 +150,7 @@
 
     @property
     def refuse_after(self) -> float:
-        """When a job that has not started is refused: it would be late and delay others."""
+        """When the job is refused if it has not started, as it would be late and delay others."""
         late = self.start_by + ESTIMATE_ERROR * self.length
         return min(late, self.expires - self.length)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobtable.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobtable.py
@@ -77,14 +77,14 @@
         return task if task.number == run.number and task.target == target else None
 
     def hold(self, runs: Iterable[RunId], target: str) -> None:
-        """Mark tasks as held whose target's session has ended: they may still run there."""
+        """Mark tasks of a target as held, as its session has ended but they may still run there."""
         for run in runs:
             task = self.task(run, target)
             if task is not None:
                 task.phase = TaskPhase.HELD
 
     def requeue(self, runs: Iterable[RunId], target: str, reason: str) -> list[Log]:
-        """Return tasks to waiting whose runs can't be running any more."""
+        """Set the tasks of runs that can't be running any more back to waiting."""
         logs: list[Log] = []
         for run in runs:
             task = self.task(run, target)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
@@ -1,9 +1,9 @@
-"""Tracks targets that were assigned tasks in an idle session until they confirm that they live.
+"""Tracks targets that were assigned tasks in idle sessions until they confirm that they are alive.
 
-The lease of an idle session is over, so the target starts the tasks only after the entry has echoed
-its reply. A target that doesn't reply in time can't have started any: its tasks are withdrawn and
-placed elsewhere at once. The withdrawal precedes any later echo in the session, so the target
-receives it before it may start them.
+The lease of an idle session has expired, so the target starts the tasks only after the entry has
+echoed its reply. A target that doesn't reply in time can't have started any: its tasks are
+withdrawn and placed elsewhere at once. The withdrawal precedes any later echo in the session, so
+the target receives it before it may start them.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 
 @final
 class LivenessChecks:
-    """The targets of one entry that have to confirm that they live."""
+    """The targets of one entry that have to confirm that they are alive."""
 
     def __init__(self, times: LeaseTimes, jobs: JobTable) -> None:
         self._times = times
@@ -33,28 +33,28 @@
         self._pending: list[TargetRecord] = []
 
     def expect_confirmations(self, now: float, assigned: Iterable[TargetRecord]) -> None:
-        """Expect a confirmation from those of the `assigned` targets whose lease is over."""
+        """Expect a confirmation from those of the `assigned` targets whose lease has expired."""
         for target in assigned:
-            if target.asked_at is None and not target.may_have_started(self._times, now):
-                target.asked_at = now
+            if target.awaited_since is None and not target.may_have_started(self._times, now):
+                target.awaited_since = now
                 self._pending.append(target)
 
     def next_deadline(self) -> float | None:
         """Return the first deadline of a pending confirmation; None if there is none."""
-        deadlines = [_deadline(t.asked_at, t) for t in self._pending if t.asked_at]
+        deadlines = [_deadline(t.awaited_since, t) for t in self._pending if t.awaited_since]
         return min(deadlines, default=None)
 
     def check(self, now: float) -> list[Log]:
-        """Withdraw the tasks of targets that missed the deadline, and return them to waiting."""
+        """Withdraw the tasks of targets that missed the deadline, to place them again."""
         logs: list[Log] = []
         for target in self._pending:
-            if target.asked_at is not None and now > _deadline(target.asked_at, target):
-                logs += self._withdraw(now, target, target.asked_at)
-        self._pending = [target for target in self._pending if target.asked_at is not None]
+            if target.awaited_since is not None and now > _deadline(target.awaited_since, target):
+                logs += self._withdraw(now, target, target.awaited_since)
+        self._pending = [target for target in self._pending if target.awaited_since is not None]
         return logs
 
-    def _withdraw(self, now: float, target: TargetRecord, asked_at: float) -> list[Log]:
-        target.asked_at = None
+    def _withdraw(self, now: float, target: TargetRecord, awaited_since: float) -> list[Log]:
+        target.awaited_since = None
         target.unconfirmed = True
         unstarted = {run: task for run in target.placed if (task := self._task(run, target))}
         if target.session is None or not unstarted:
@@ -63,7 +63,7 @@
         fields: dict[str, str | int | float] = {
             "target": target.name,
             "runs": len(unstarted),
-            "after_ms": round((now - asked_at) * 1000),
+            "after_ms": round((now - awaited_since) * 1000),
         }
         logs = [note("target_unanswered", **fields)]
         for run, task in unstarted.items():
@@ -91,7 +91,7 @@
     return note("task_returned", run.task.job, **fields)
 
 
-def _deadline(asked_at: float, target: TargetRecord) -> float:
-    return asked_at + min(
+def _deadline(awaited_since: float, target: TargetRecord) -> float:
+    return awaited_since + min(
         MAX_CONFIRMATION_SECONDS, CONFIRMATION_SECONDS + 2 * target.confirmation_seconds
     )
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/offers.py
@@ -18,7 +18,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class _Request:
-    """An entry's request for `need`, to start by the steady time `urgent_at`."""
+    """An entry's request for `need`, to start by the monotonic time `urgent_at`."""
 
     need: Resources
     urgent_at: float
@@ -45,13 +45,16 @@
 
     def is_contended(self, free: Resources) -> bool:
         """Whether several entries wait and `free` is not enough for a task of each."""
-        wanted = NO_RESOURCES
+        total_need = NO_RESOURCES
         for each in self._requests.values():
-            wanted += each.need
-        return len(self._requests) > 1 and not wanted.fits(free)
+            total_need += each.need
+        return len(self._requests) > 1 and not total_need.fits(free)
 
     def offered_to(self, now: float, free: Resources) -> str | None:
-        """Return the entry that `free` is offered to; None if no waiting task fits it."""
+        """Return the entry that `free` is offered to; None if no waiting task fits it.
+
+        The current offer is replaced if it has expired or its task does not fit.
+        """
         if self._offered is not None and now >= self._offered_at + OFFER_SECONDS:
             self.drop(self._offered)
         if self._offered is None or not self._fits(self._offered, free):
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/outcomes.py
@@ -41,8 +41,8 @@
 class GivenUp:
     """The outcome is unknown: tasks may have run. The caller may submit the job again.
 
-    A task under which two runners were lost is not started again until these runners return; the
-    other counts of its retries start from zero.
+    A task during which two runners were lost is not started again until one of them answers or its
+    loss expires; the other counts of its retries start from zero.
     """
 
     reason: str
@@ -62,7 +62,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class AnswerJob:
-    """Send a caller the outcome of its job, which it `waited` for in seconds."""
+    """Send a caller the outcome of its job, `waited` seconds after it submitted the job."""
 
     caller: int
     key: str
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/placement.py
@@ -36,7 +36,7 @@
 """
 
 HOLD_MARGIN_SHARE = 0.5
-"""Part of a job's margin for which it waits for a fast host.
+"""Share of a job's margin that must be left on a host for the job to wait for it.
 
 Once no host leaves that much, any host where it ends in time by its expected length is accepted.
 """
@@ -55,7 +55,7 @@
 """Tolerance of slowness comparisons, for rounding: hosts of a kind must compare as equal."""
 
 MIN_LENGTH_FACTOR = 0.8
-"""Part of its expected length within which a task may yet end."""
+"""Smallest part of its expected length that a task is assumed to take."""
 
 
 @final
@@ -65,7 +65,7 @@
 
     target: TargetRecord
     slowness: float
-    """Duration of a task there relative to the job's length, with remote data and a cold start."""
+    """Duration of a task there relative to the job's length, with remote data and a cold runner."""
     kind_slowness: float
     """The same for a typical warm runner of the kind."""
     hall_cost: float
@@ -97,9 +97,9 @@
         self.sent_counts = Counter(
             task.target for task in job.tasks if task.phase is not TaskPhase.WAITING
         )
-        """Number of the job's tasks that each target has been sent and has not returned."""
+        """Number of the job's tasks that each target runs, may still run or has completed."""
         self.due = job.due
-        """When a task must end: by the objective, or with the job's last task if that is later."""
+        """When a task must end: by the objective, or with the job's last placed task if later."""
         by_name = {each.target.name: each for each in candidates}
         for task in job.tasks:
             if task.phase is TaskPhase.PLACED and task.target in by_name:
@@ -115,7 +115,7 @@
         return any(target.name not in task.avoid for target in self.eligible)
 
     def record_placement(self, at: float, candidate: _Candidate) -> None:
-        """Record that a task was placed; the others need not end before it does."""
+        """Record that a task was placed; the job's other tasks need not end earlier."""
         ends = at + self.job.length * candidate.slowness + OVERHEAD_SECONDS
         self.due = max(self.due, ends)
 
@@ -172,14 +172,14 @@
         max_slowness = (job.due - OVERHEAD_SECONDS - now) / job.length
         safe_slowness = max_slowness / (1 + HOLD_MARGIN_SHARE * (_margin(job) - 1))
         typical_slowness = self._speeds.typical_slowness(job.queue.service)
-        fit = [
+        suitable = [
             kind
             for kind in kinds
             if kind.factor <= safe_slowness * typical_slowness
             and kind.min_slowness <= max_slowness * typical_slowness
             and need.fits(kind.capacity)
         ]
-        return bool(fit) and not any(need.fits(kind.free) for kind in fit)
+        return bool(suitable) and not any(need.fits(kind.free) for kind in suitable)
 
     def choose(
         self, now: float, job: JobRecord, task: TaskRecord, eligible: list[TargetRecord]
@@ -205,7 +205,10 @@
         return chosen.target
 
     def _planned(self, now: float, job: JobRecord, eligible: list[TargetRecord]) -> _Plan:
-        """Return the job's plan; reuse it between its tasks, and update the target chosen last."""
+        """Return the job's plan; reuse it between its tasks, and update the target chosen last.
+
+        Further tasks add no cost for another hall there, as they share the message to it.
+        """
         plan = self._plan
         if plan is None or plan.eligible is not eligible or plan.job is not job or plan.now != now:
             service = job.queue.service
@@ -240,6 +243,7 @@
         return _Candidate(target, target.slowness * factor, kind_slowness, hall_cost, 0.0)
 
     def _probe(self, now: float, plan: _Plan, task: TaskRecord) -> TargetRecord | None:
+        """Return a target on probation that is due a task and suits this one, if any."""
         job = plan.job
         for target in plan.probes:
             if (
@@ -265,40 +269,40 @@
         margin = _margin(job) if plan.due <= job.due else 1.0
         safe_slowness = max_slowness / (1 + HOLD_MARGIN_SHARE * (margin - 1))
         if any(c.kind_slowness <= safe_slowness and c.slowness <= max_slowness for c in candidates):
-            hopeful = [
+            safe = [
                 c
                 for c in fitting
                 if c.kind_slowness <= safe_slowness and c.slowness <= max_slowness
             ]
-            return self._least_loaded(hopeful, max_slowness, margin)
+            return self._choose_cheapest(safe, max_slowness, margin)
         if any(c.slowness <= max_slowness for c in candidates):
-            return self._least_loaded([c for c in fitting if c.slowness <= max_slowness])
+            return self._choose_cheapest([c for c in fitting if c.slowness <= max_slowness])
         return self._choose_late(now, job, fitting, max_slowness)
 
     def _choose_late(
         self, now: float, job: JobRecord, fitting: list[_Candidate], max_slowness: float
     ) -> _Candidate | None:
         """Return a target for a task that is expected to be late anywhere."""
-        hopeful = [c for c in fitting if c.slowness * MIN_LENGTH_FACTOR <= max_slowness]
-        if hopeful:
-            return self._least_loaded(hopeful)
+        maybe_timely = [c for c in fitting if c.slowness * MIN_LENGTH_FACTOR <= max_slowness]
+        if maybe_timely:
+            return self._choose_cheapest(maybe_timely)
         useful = [c for c in fitting if now + c.slowness * job.length <= job.useful_end]
-        return self._least_loaded(useful or fitting, float("inf"))
+        return self._choose_cheapest(useful or fitting, float("inf"))
 
     def _choose_by_rack(
         self, now: float, plan: _Plan, fitting: list[_Candidate], candidates: list[_Candidate]
     ) -> _Candidate | None:
         """Return a target in the rack that stores the data, or one elsewhere if that is better."""
         job = plan.job
-        near = [c for c in fitting if c.target.has_label(job.request.rack)]
-        timely = [c for c in near if now + c.slowness * job.length <= plan.due]
+        local = [c for c in fitting if c.target.has_label(job.request.rack)]
+        timely = [c for c in local if now + c.slowness * job.length <= plan.due]
         if timely:
-            return self._least_loaded(timely)
-        if self._should_wait_for_rack(now, plan, candidates, has_capacity=bool(near)):
+            return self._choose_cheapest(timely)
+        if self._should_wait_for_rack(now, plan, candidates, has_capacity=bool(local)):
             return None
-        least = min(c.slowness for c in fitting)
-        return self._least_loaded(
-            [c for c in fitting if c.slowness <= least * SIMILAR_SLOWNESS_FACTOR]
+        min_slowness = min(c.slowness for c in fitting)
+        return self._choose_cheapest(
+            [c for c in fitting if c.slowness <= min_slowness * SIMILAR_SLOWNESS_FACTOR]
         )
 
     def _should_wait_for_rack(
@@ -312,27 +316,27 @@
         """
         job = plan.job
         rack = job.request.rack
-        near = min(c.slowness for c in candidates if c.target.has_label(rack)) * job.length
+        local_length = min(c.slowness for c in candidates if c.target.has_label(rack)) * job.length
         others = [c.slowness for c in candidates if not c.target.has_label(rack)]
         if not others:
             return not has_capacity
-        away = min(others) * job.length
-        elsewhere = plan.due - away - OVERHEAD_SECONDS
-        if now < plan.due - near:
-            return now < elsewhere or elsewhere + 2 * OVERHEAD_SECONDS < now
-        return now + away > job.useful_end and not has_capacity
+        remote_length = min(others) * job.length
+        last_remote_start = plan.due - remote_length - OVERHEAD_SECONDS
+        if now < plan.due - local_length:
+            return now < last_remote_start or last_remote_start + 2 * OVERHEAD_SECONDS < now
+        return now + remote_length > job.useful_end and not has_capacity
 
-    def _least_loaded(
+    def _choose_cheapest(
         self, candidates: list[_Candidate], max_slowness: float = 0.0, margin: float = 1.0
     ) -> _Candidate | None:
         """Return the candidate of the lowest cost, with random jitter between similar ones.
 
-        With `max_slowness`, the slowness at which the task would be late, the cost includes the
+        With `max_slowness`, the slowness above which the task would be late, the cost includes the
         risk of being late, and fast hosts cost more, to keep them for tasks that need them.
         """
         random = self._rng.random
         best: _Candidate | None = None
-        least = float("inf")
+        min_cost = float("inf")
         for candidate in candidates:
             cost = (
                 candidate.load + candidate.hall_cost + candidate.cold_cost + LOAD_JITTER * random()
@@ -343,8 +347,8 @@
                 cost += (candidate.kind_slowness * margin - max_slowness) / (
                     max_slowness * (margin - 1)
                 )
-            if cost < least:
-                best, least = candidate, cost
+            if cost < min_cost:
+                best, min_cost = candidate, cost
         return best
 
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
@@ -1,4 +1,4 @@
-"""An index of the configured queues by host name, to find the queue of each request quickly."""
+"""An index of the configured queues by the host name in request URLs."""
 
 from typing import final
 
@@ -7,7 +7,7 @@
 
 @final
 class QueueIndex:
-    """The queues of one configuration, indexed by host name."""
+    """The queues of one configuration, indexed by the host name in their URLs."""
 
     def __init__(self, catalog: Catalog = EMPTY) -> None:
         self._catalog = catalog
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/readiness.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/readiness.py
@@ -18,7 +18,7 @@
 
 @final
 class Readiness:
-    """The numbers of targets of one entry and of the other entries."""
+    """The readiness of one entry, by its number of targets and those of the other entries."""
 
     def __init__(self) -> None:
         self._had_targets = False
@@ -34,7 +34,7 @@
         """Record how many targets have a session with this entry."""
         if not targets:
             if self._lost_at is None and self._had_targets:
-                # If the targets left before the entry was ready again, the loss goes on.
+                # If the targets left before the entry was ready again, the earlier loss continues.
                 stayed = now >= self._regained_at + READY_AFTER_SECONDS
                 self._lost_at = now if stayed else float("-inf")
             return
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/resourcerequests.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/resourcerequests.py
@@ -1,4 +1,4 @@
-"""Sends targets the most urgent waiting task of an entry, for their offers of free resources."""
+"""Requests free resources from targets for the most urgent waiting jobs of an entry."""
 
 from collections.abc import Iterable, Mapping
 from typing import final
@@ -11,7 +11,8 @@
 """Minimum seconds between two rounds of messages to all targets."""
 
 MIN_INTERVAL_SECONDS_PER_TARGET = 0.0004
-"""Minimum seconds between two rounds for each target sent to, to limit an entry's CPU time."""
+"""Minimum seconds between two rounds per request sent in the first, to limit an entry's CPU time.
+"""
 
 REPEAT_SECONDS = 0.1
 """Seconds after which a request is sent again, as the offer may have expired unused."""
@@ -24,6 +25,7 @@
     def __init__(self) -> None:
         self._next_round = 0.0
         self._reported: list[TargetRecord] = []
+        """Targets that have reported since the last `send` while a request to them was in force."""
 
     def send(
         self,
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/retries.py
@@ -17,15 +17,14 @@
 MAX_LOST_RUNNERS = 2
 """Number of runners lost while running a task after which it is not retried.
 
-A higher limit would cost the tasks beside it on the next runner more than it would spare innocent
-tasks (docs/design/crashing-tasks.md).
+With a higher limit, more tasks that share a runner with it would be lost than jobs saved
+(docs/design/crashing-tasks.md).
 """
 
 MAX_LOST_RUNS = 3
 """Number of lost runners and of runs lost with a session, together, after which it is not retried.
 
-It applies if at least one runner was lost: during a network partition a session may end because its
-runner was lost.
+It applies if at least one runner was lost: a session that ended may conceal the loss of another.
 """
 
 MAX_RETRIES = 8
@@ -35,6 +34,7 @@
 SILENT_RUNNERS = "silent_runners"
 LOST_SESSIONS = "lost_sessions"
 RETRIES = "retries"
+"""Reasons for which a job is given up."""
 
 
 @final
@@ -48,17 +48,17 @@
         """Return the remembered losses of runners, to send to another entry."""
         return self._losses.export(now)
 
-    def learn(self, now: float, news: LossUpdate, source: str) -> list[Log]:
-        """Record news of a lost runner, and return the log lines about it; none if it was known.
+    def learn(self, now: float, update: LossUpdate, source: str) -> list[Log]:
+        """Record an update on a lost runner, and return its log lines; none if it was known.
 
         `RunnerSilent` is ignored here, as the runner's tasks may still be running.
         """
-        if isinstance(news, RunnerSilent) or not self._losses.apply(now, news):
+        if isinstance(update, RunnerSilent) or not self._losses.apply(now, update):
             return []
-        runner = str(news.loss.incarnation)
-        if isinstance(news, RunnerReturned):
+        runner = str(update.loss.incarnation)
+        if isinstance(update, RunnerReturned):
             return [note("runner_return_learned", runner=runner, source=source)]
-        tasks, ended = len(news.tasks), len(news.ended)
+        tasks, ended = len(update.tasks), len(update.ended)
         return [note("runner_loss_learned", runner=runner, tasks=tasks, ended=ended, source=source)]
 
     def outcome_on_submit(self, now: float, job: JobRecord) -> GivenUp | None:
@@ -110,10 +110,12 @@
         return GivenUp(RETRIES) if task.retries >= MAX_RETRIES else None
 
     def _counted_losses(self, task: TaskRecord) -> int:
-        """Return how many of the runners lost under a task it may have crashed.
+        """Return how many of the runners that were lost while running a task it may have crashed.
 
         One loss that is correlated with others, as with an outage of a rack or a hall, is excused.
         """
         incarnations = self._losses.runners(task.id)
-        correlated = any(self._losses.was_correlated(each, task.id.job) for each in incarnations)
-        return len(incarnations) - correlated
+        any_correlated = any(
+            self._losses.was_correlated(each, task.id.job) for each in incarnations
+        )
+        return len(incarnations) - any_correlated
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -14,7 +14,7 @@
 """Weight of one completion in a target's deviation, a moving average over about the last 20."""
 
 DEVIATION_LIMITS = (0.5, 3.0)
-"""Limits to which one observed deviation is clamped; beyond, the runner's health decides."""
+"""Limits to which one observed deviation is clamped; the health check covers slower runners."""
 
 DEVIATION_SECONDS = 60.0
 """Time constant of the decay of a deviation, so that an idle target recovers from a slow spell."""
@@ -55,15 +55,14 @@
     """When that request was sent."""
     busy_since: float = 0.0
     """When it was last sent a run while it had none of this entry."""
-    asked_at: float | None = None
-    """Since when it must confirm that it lives; None if it need not."""
+    awaited_since: float | None = None
+    """Since when its confirmation that it is alive is awaited; None if none is."""
     confirmation_seconds: float = 0.0
     """Seconds that its last confirmation took."""
     unconfirmed: bool = False
-    """Whether it failed to confirm that it lives, and no message has come from it since."""
+    """Whether it failed to confirm that it is alive, and no message has arrived from it since."""
     cold_until: float = 0.0
-    """When its runner was, or will be, warm after its start."""
-
+    """When its runner became, or will become, warm after its start."""
     runner_incarnation: RunnerIncarnation | None = None
     """The incarnation of its runner that reported last."""
 
@@ -72,7 +71,7 @@
         if self.runner_incarnation != report.incarnation:
             self.deviation = 1.0
             self.runner_incarnation = report.incarnation
-        # A runner that reports it is warm counts as having been cold until now at the latest.
+        # A runner that reports no cold time left became warm by now at the latest.
         cold_until = now + report.cold_ms / 1000
         self.cold_until = cold_until if report.cold_ms else min(self.cold_until, now)
         self.report = report
@@ -81,7 +80,7 @@
     def reset(self) -> None:
         """Clear the state that belongs to an ended session."""
         self.report = None
-        self.asked_at = None
+        self.awaited_since = None
         self.request_key = ""
         self.unreported.clear()
         self.in_transit = NO_RESOURCES
@@ -108,12 +107,12 @@
 
     def observe_duration_ratio(self, ratio: float, weight: float = 1.0) -> None:
         """Update the deviation after a task took `ratio` times as long as expected here."""
-        least, most = DEVIATION_LIMITS
-        observed = min(most, max(least, ratio * self.deviation))
+        lower, upper = DEVIATION_LIMITS
+        observed = min(upper, max(lower, ratio * self.deviation))
         self.deviation += DEVIATION_STEP * weight * (observed - self.deviation)
 
     def decay_deviation(self, seconds: float) -> None:
-        """Move the deviation back towards 1 after so many seconds."""
+        """Decay the deviation towards 1 over a period of `seconds`."""
         self.deviation += (1.0 - self.deviation) * min(1.0, seconds / DEVIATION_SECONDS)
 
     def record_run(self, now: float, run: RunId) -> None:
@@ -123,18 +122,18 @@
         self.placed.add(run)
 
     def record_contact(self, now: float) -> None:
-        """Record that a message of the target has come, which also confirms that it lives."""
+        """Record that a message of the target has arrived, which confirms that it is alive."""
         self.last_received = now
         self.unconfirmed = False
-        if self.asked_at is not None:
-            self.confirmation_seconds = now - self.asked_at
-            self.asked_at = None
+        if self.awaited_since is not None:
+            self.confirmation_seconds = now - self.awaited_since
+            self.awaited_since = None
 
     def is_fresh(self, now: float, times: LeaseTimes) -> bool:
         """Whether it is connected and its last message is recent enough to send it tasks."""
         if not self.connected or self.unconfirmed:
             return False
-        if self.asked_at is not None:
+        if self.awaited_since is not None:
             return True
         silence = now - max(self.last_received, self.busy_since)
         return silence <= (times.max_silence if self.placed else times.max_idle_silence)
@@ -175,7 +174,7 @@
             "report": self.report,
             "placed": len(self.placed),
             "held": len(self.held),
-            "asked_ms": round((now - self.asked_at) * 1000) if self.asked_at else 0,
+            "asked_ms": round((now - self.awaited_since) * 1000) if self.awaited_since else 0,
             "answered": not self.unconfirmed,
             "deviation": round(self.deviation, 2),
         }
@@ -203,7 +202,7 @@
         return (self.report.capacity - self.free).share_of(self.report.capacity)
 
     def is_cold(self, now: float) -> bool:
-        """Whether its runner was still slow after its start at `now`, which may be in the past."""
+        """Whether its runner is cold at `now`, which may be in the past."""
         return now < self.cold_until
 
     @property
--- a/testing/core/leased/test_dispatcher.py
+++ b/testing/core/leased/test_dispatcher.py
@@ -120,7 +120,7 @@
     assert fleet.answers[caller] == Completed()
 
 
-def test_a_frozen_entry_gives_up_its_jobs_when_it_wakes(fleet: Fleet) -> None:
+def test_a_paused_entry_gives_up_its_jobs_when_it_resumes(fleet: Fleet) -> None:
     caller = fleet.submit("e0", "job", length=6.0, deadline=20.0)
     fleet.run(0.3)
     fleet.freeze("e0")
@@ -133,7 +133,7 @@
     assert fleet.answers[again] == Completed()
 
 
-def test_a_caller_that_left_during_a_freeze_ends_the_other_jobs_too(fleet: Fleet) -> None:
+def test_a_caller_that_left_during_a_pause_ends_the_other_jobs_too(fleet: Fleet) -> None:
     leaving = fleet.submit("e0", "one", length=6.0, deadline=20.0)
     other = fleet.submit("e0", "two", length=6.0, deadline=20.0)
     fleet.run(0.3)
@@ -144,7 +144,7 @@
     assert fleet.answers[other] == GivenUp("stood_still")
 
 
-def test_a_request_read_right_after_a_freeze_is_refused(fleet: Fleet) -> None:
+def test_a_request_read_right_after_a_pause_is_refused(fleet: Fleet) -> None:
     fleet.freeze("e0")
     fleet.run(3.0)
     fleet.thaw("e0")
@@ -169,7 +169,7 @@
     assert fleet.answers[again] == Completed()
 
 
-def test_a_target_that_froze_past_its_leases_runs_nothing_twice(fleet: Fleet) -> None:
+def test_a_target_paused_beyond_its_leases_runs_nothing_twice(fleet: Fleet) -> None:
     caller = fleet.submit("e0", "job", count=3, length=1.0, deadline=20.0)
     fleet.run(0.2)
     fleet.freeze("t0")
@@ -391,7 +391,7 @@
 
 
 def test_only_losses_reported_by_a_target_are_broadcast() -> None:
-    """If entries broadcast news from each other, it would circulate forever."""
+    """If entries broadcast updates from each other, they would circulate forever."""
     dispatcher = Dispatcher(lease_times(Bounds()), "hall", Random(7))
     dispatcher.handle_hello(1.0, Hello("t", "life", False, "hall", "", 0, 0))
     lost = RunnerLost(LossId("i-1", 900), [TaskId("job", 0, 0)], ["q"], [100])
--- a/testing/core/leased/test_livenesschecks.py
+++ b/testing/core/leased/test_livenesschecks.py
@@ -1,4 +1,4 @@
-"""First assignments to idle targets, which must confirm that they live before they start tasks."""
+"""First assignments to idle targets, which must confirm that they are alive before a start."""
 
 import pytest
 from leasedfleet import STEP, Fleet
@@ -130,8 +130,8 @@
     fleet.run(1.0)
     before = fleet.frames
     fleet.run(10.0)
-    beats = 10.0 / fleet.times.idle_heartbeat
-    assert fleet.frames - before <= 1.2 * 2 * beats * 16
+    heartbeats = 10.0 / fleet.times.idle_heartbeat
+    assert fleet.frames - before <= 1.2 * 2 * heartbeats * 16
     assert fleet.ends("session_ended") == []
 
 
--- a/testing/core/leased/test_placement.py
+++ b/testing/core/leased/test_placement.py
@@ -33,33 +33,33 @@
     return new_job(1, request, QUEUE, 10.0)
 
 
-def chosen(now: float, asked: JobRecord, *targets: TargetRecord) -> str:
+def chosen(now: float, job_record: JobRecord, *targets: TargetRecord) -> str:
     """Return the name of the target that the job's first task goes to, or nothing."""
     placement = Placement("hall", Random(1), 1.5)
-    eligible = placement.eligible(asked, list(targets))
-    found = placement.choose(now, asked, asked.tasks[0], eligible) if eligible else None
+    eligible = placement.eligible(job_record, list(targets))
+    found = placement.choose(now, job_record, job_record.tasks[0], eligible) if eligible else None
     return found.name if found else ""
 
 
 def test_a_task_is_placed_in_the_rack_of_its_data() -> None:
-    busy = target("near", "a", "r1", free=Resources(2000, 8000))
-    assert chosen(10.0, job(rack="r1"), target("far", "a", "r2"), busy) == "near"
+    busy = target("local", "a", "r1", free=Resources(2000, 8000))
+    assert chosen(10.0, job(rack="r1"), target("remote", "a", "r2"), busy) == "local"
 
 
 @pytest.mark.parametrize(
     ("after", "expected"),
-    [(0.0, ""), (0.1, "far"), (0.15, ""), (0.4, "far")],
+    [(0.0, ""), (0.1, "remote"), (0.15, ""), (0.4, "remote")],
     ids=["early", "in-time-elsewhere", "in-time-only-in-rack", "late-anywhere"],
 )
 def test_a_task_waits_for_its_datas_rack_while_it_can_end_in_time_there(
     after: float, expected: str
 ) -> None:
-    near = target("near", "r1", free=FULL)
-    assert chosen(10.0 + after, job(rack="r1"), near, target("far", "r2")) == expected
+    local = target("local", "r1", free=FULL)
+    assert chosen(10.0 + after, job(rack="r1"), local, target("remote", "r2")) == expected
 
 
 def test_a_task_whose_rack_is_unknown_runs_anywhere() -> None:
-    assert chosen(10.0, job(rack="r9"), target("far", "r2")) == "far"
+    assert chosen(10.0, job(rack="r9"), target("remote", "r2")) == "remote"
 
 
 def test_a_required_label_restricts_the_targets() -> None:
@@ -68,24 +68,24 @@
 
 
 def test_no_target_gets_more_of_a_jobs_tasks_than_its_spread_allows() -> None:
-    asked = job(spread=1)
+    job_record = job(spread=1)
     only = target("t1")
-    assert chosen(10.0, asked, only) == "t1"
-    asked.tasks[1].target = "t1"
-    asked.tasks[1].phase = type(asked.tasks[1].phase).PLACED
-    assert chosen(10.0, asked, only) == ""
+    assert chosen(10.0, job_record, only) == "t1"
+    job_record.tasks[1].target = "t1"
+    job_record.tasks[1].phase = type(job_record.tasks[1].phase).PLACED
+    assert chosen(10.0, job_record, only) == ""
 
 
 def test_tasks_of_a_job_that_are_placed_together_are_spread() -> None:
     placement = Placement("hall", Random(1), 1.5)
-    asked = job(spread=2, count=5)
-    eligible = placement.eligible(asked, [target("t1"), target("t2")])
+    job_record = job(spread=2, count=5)
+    eligible = placement.eligible(job_record, [target("t1"), target("t2")])
     names = []
-    for task in asked.tasks:
-        found = placement.choose(10.0, asked, task, eligible)
+    for task in job_record.tasks:
+        found = placement.choose(10.0, job_record, task, eligible)
         if found is not None:
             task.target, task.phase = found.name, TaskPhase.PLACED
-            found.reserve(asked.request.need)
+            found.reserve(job_record.request.need)
             names.append(found.name)
     assert sorted(names) == ["t1", "t1", "t2", "t2"]
 
@@ -118,15 +118,15 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "after"),
+    ("job_record", "after"),
     [(relaxed_job(count=32), 0.45), (relaxed_job(count=1), 0.6), (job(), 0.0)],
     ids=["wide", "urgent", "short-objective"],
 )
 def test_a_task_that_may_be_late_on_a_slow_host_goes_to_a_fast_one(
-    asked: JobRecord, after: float
+    job_record: JobRecord, after: float
 ) -> None:
     fast = of_kind("fast", FAST, free=Resources(3000, 8000))
-    assert chosen(10.0 + after, asked, fast, of_kind("slow", SLOW)) == "fast"
+    assert chosen(10.0 + after, job_record, fast, of_kind("slow", SLOW)) == "fast"
 
 
 def test_a_job_with_a_single_task_needs_less_margin_on_a_slow_host() -> None:
@@ -155,8 +155,8 @@
     for record in targets:
         record.connected, record.last_received = True, 10.0 + after
         record.session = Session(1, 0)
-    room = TargetSnapshot(10.0 + after, targets, lease_times(Bounds()))
-    held = Placement("hall", Random(1), 1.5).should_wait_for_kind(10.0 + after, job(), room)
+    snapshot = TargetSnapshot(10.0 + after, targets, lease_times(Bounds()))
+    held = Placement("hall", Random(1), 1.5).should_wait_for_kind(10.0 + after, job(), snapshot)
     assert held == (chosen(10.0 + after, job(), *targets) == "")
 
 
@@ -173,9 +173,9 @@
 
 def large(record: TargetRecord) -> TargetRecord:
     """Make a target large enough for a task of ten cores."""
-    room = Resources(12000, 12000)
+    capacity = Resources(12000, 12000)
     record.report = RunnerReport(
-        "svc", record.name, RunnerState.READY, Health.GOOD, room, room, ("b",)
+        "svc", record.name, RunnerState.READY, Health.GOOD, capacity, capacity, ("b",)
     )
     return record
 
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "fast"),
+    ("job_record", "fast"),
     [
         (job(label="b"), of_kind("fast", FAST, "a", free=FULL)),
         (job(need=Resources(10000, 10)), of_kind("fast", FAST, "a", free=FULL)),
@@ -198,33 +198,33 @@
     ids=["label", "too-large-for-fast", "probation", "slowed", "cold"],
 )
 def test_no_job_is_held_for_a_fast_host_that_can_not_run_it_in_time(
-    asked: JobRecord, fast: TargetRecord
+    job_record: JobRecord, fast: TargetRecord
 ) -> None:
     targets = [fast, large(of_kind("slow", SLOW, "b"))]
     for record in targets:
         record.connected, record.last_received = True, 10.1
         record.session = Session(1, 0)
-    room = TargetSnapshot(10.1, targets, lease_times(Bounds()))
-    assert chosen(10.1, asked, *targets) == "slow"
-    assert not Placement("hall", Random(1), 1.5).should_wait_for_kind(10.1, asked, room)
+    snapshot = TargetSnapshot(10.1, targets, lease_times(Bounds()))
+    assert chosen(10.1, job_record, *targets) == "slow"
+    assert not Placement("hall", Random(1), 1.5).should_wait_for_kind(10.1, job_record, snapshot)
 
 
 @pytest.mark.parametrize(
-    "asked", [job(label="b"), job(spread=1)], ids=["only-one-of-its-label", "spread"]
+    "job_record", [job(label="b"), job(spread=1)], ids=["only-one-of-its-label", "spread"]
 )
 def test_a_job_is_not_held_for_a_kind_whose_eligible_hosts_are_all_slowed(
-    asked: JobRecord,
+    job_record: JobRecord,
 ) -> None:
     only, normal = slowed(of_kind("slowed", FAST, "b")), of_kind("normal", FAST, "a")
-    if asked.request.spread:
-        asked.tasks[1].target, asked.tasks[1].phase = "normal", TaskPhase.PLACED
-    assert chosen(10.0, asked, only, normal) == "slowed"
+    if job_record.request.spread:
+        job_record.tasks[1].target, job_record.tasks[1].phase = "normal", TaskPhase.PLACED
+    assert chosen(10.0, job_record, only, normal) == "slowed"
 
 
 @pytest.mark.parametrize("after", [0.0, 0.02])
 def test_a_task_stays_in_a_rack_whose_only_free_runner_is_cold(after: float) -> None:
-    near, far = cold(target("near", "r1")), target("far", "r2")
-    assert chosen_with_factor(10.0 + after, job(rack="r1"), 3.0, near, far) == "near"
+    local, remote = cold(target("local", "r1")), target("remote", "r2")
+    assert chosen_with_factor(10.0 + after, job(rack="r1"), 3.0, local, remote) == "local"
 
 
 def test_a_choice_with_a_cold_runner_does_not_compare_records_field_by_field(
@@ -255,12 +255,12 @@
 
 
 def test_a_job_with_a_late_task_on_a_slow_host_does_not_use_fast_ones() -> None:
-    asked = job()
-    asked.tasks[1].target = "slow"
-    asked.tasks[1].phase = TaskPhase.PLACED
-    asked.tasks[1].placed_at = 10.3
+    job_record = job()
+    job_record.tasks[1].target = "slow"
+    job_record.tasks[1].phase = TaskPhase.PLACED
+    job_record.tasks[1].placed_at = 10.3
     fast, slow = of_kind("fast", FAST), of_kind("slow", SLOW)
-    assert chosen(10.3, asked, fast, slow) == "slow"
+    assert chosen(10.3, job_record, fast, slow) == "slow"
     assert chosen(10.3, job(), fast, slow) == "fast"
 
 
@@ -287,8 +287,10 @@
     here = of_kind("here", 1.0, free=Resources(free, 8000))
     there = of_kind("there", 1.0, hall="other")
     placement = Placement("hall", Random(1), 1.5, hall_preference=preference)
-    asked = job()
-    found = placement.choose(10.0, asked, asked.tasks[0], placement.eligible(asked, [here, there]))
+    job_record = job()
+    found = placement.choose(
+        10.0, job_record, job_record.tasks[0], placement.eligible(job_record, [here, there])
+    )
     assert found is not None
     assert found.name == expected
 
@@ -296,48 +298,50 @@
 def test_tasks_of_a_job_share_the_message_to_another_hall() -> None:
     placement = Placement("hall", Random(1), 1.5, hall_preference=0.4)
     targets = [of_kind(f"t{number}", 1.0, hall="other") for number in range(6)]
-    asked = job(count=3)
-    eligible = placement.eligible(asked, targets)
+    job_record = job(count=3)
+    eligible = placement.eligible(job_record, targets)
     names = set()
-    for task in asked.tasks:
-        found = placement.choose(10.0, asked, task, eligible)
+    for task in job_record.tasks:
+        found = placement.choose(10.0, job_record, task, eligible)
         assert found is not None
-        found.reserve(asked.request.need)
+        found.reserve(job_record.request.need)
         names.add(found.name)
     assert len(names) == 1
 
 
-def chosen_with_factor(now: float, asked: JobRecord, factor: float, *targets: TargetRecord) -> str:
+def chosen_with_factor(
+    now: float, job_record: JobRecord, factor: float, *targets: TargetRecord
+) -> str:
     placement = Placement("hall", Random(1), factor)
-    eligible = placement.eligible(asked, list(targets))
-    found = placement.choose(now, asked, asked.tasks[0], eligible) if eligible else None
+    eligible = placement.eligible(job_record, list(targets))
+    found = placement.choose(now, job_record, job_record.tasks[0], eligible) if eligible else None
     return found.name if found else ""
 
 
 @pytest.mark.parametrize(
     ("after", "factor", "expected"),
-    [(0.0, 3.0, ""), (0.25, 3.0, ""), (0.35, 3.0, "far"), (0.35, 30.0, "")],
+    [(0.0, 3.0, ""), (0.25, 3.0, ""), (0.35, 3.0, "remote"), (0.35, 30.0, "")],
     ids=["in-time-in-rack", "just-in-time-in-rack", "late-anywhere", "of-no-use-elsewhere"],
 )
 def test_a_task_waits_for_a_full_rack_if_it_would_be_late_elsewhere(
     after: float, factor: float, expected: str
 ) -> None:
-    near = target("near", "r1", free=FULL)
-    found = chosen_with_factor(10.0 + after, job(rack="r1"), factor, near, target("far", "r2"))
+    local = target("local", "r1", free=FULL)
+    found = chosen_with_factor(10.0 + after, job(rack="r1"), factor, local, target("remote", "r2"))
     assert found == expected
 
 
 def test_a_fast_host_elsewhere_is_chosen_if_the_task_ends_sooner_than_in_the_rack() -> None:
-    near, far = of_kind("near", 2.5, "r1"), of_kind("far", FAST, "r2")
-    assert chosen_with_factor(10.2, job(rack="r1"), 1.5, near, far) == "far"
-    assert chosen_with_factor(10.2, job(rack="r1"), 9.0, near, far) == "near"
+    local, remote = of_kind("local", 2.5, "r1"), of_kind("remote", FAST, "r2")
+    assert chosen_with_factor(10.2, job(rack="r1"), 1.5, local, remote) == "remote"
+    assert chosen_with_factor(10.2, job(rack="r1"), 9.0, local, remote) == "local"
 
 
 def test_the_other_tasks_wait_for_the_rack_until_a_remote_task_of_the_job_ends() -> None:
-    asked = job(rack="r1")
-    asked.tasks[1].target = "far"
-    asked.tasks[1].phase = TaskPhase.PLACED
-    asked.tasks[1].placed_at = 10.35
-    near, far = target("near", "r1", free=FULL), target("far", "r2")
-    assert chosen_with_factor(10.6, asked, 2.0, near, far) == ""
-    assert chosen_with_factor(10.9, asked, 2.0, near, far) == "far"
+    job_record = job(rack="r1")
+    job_record.tasks[1].target = "remote"
+    job_record.tasks[1].phase = TaskPhase.PLACED
+    job_record.tasks[1].placed_at = 10.35
+    local, remote = target("local", "r1", free=FULL), target("remote", "r2")
+    assert chosen_with_factor(10.6, job_record, 2.0, local, remote) == ""
+    assert chosen_with_factor(10.9, job_record, 2.0, local, remote) == "remote"
--- a/testing/core/leased/test_retries.py
+++ b/testing/core/leased/test_retries.py
@@ -22,7 +22,7 @@
 from paddleshunt_core.leased.wire import LossId, RunnerLost, RunnerReturned, RunnerSilent, TaskId
 
 QUEUE = Queue("q", "host", "/q/", "svc")
-MakeNews = Callable[[int, JobRecord], RunnerLost]
+MakeUpdate = Callable[[int, JobRecord], RunnerLost]
 
 
 @pytest.fixture
@@ -42,21 +42,22 @@
 
 @pytest.mark.parametrize("runners", range(MAX_LOST_RUNNERS + 1))
 @pytest.mark.parametrize(
-    ("make_news", "given_up"), [(silent, GivenUp(SILENT_RUNNERS)), (ended, GivenUp(ENDED_RUNNERS))]
+    ("make_update", "given_up"),
+    [(silent, GivenUp(SILENT_RUNNERS)), (ended, GivenUp(ENDED_RUNNERS))],
 )
-def test_a_job_is_given_up_once_enough_runners_were_lost_under_a_task(
-    make_news: MakeNews, given_up: GivenUp, runners: int, job: JobRecord
+def test_a_job_is_given_up_once_enough_runners_were_lost_while_running_a_task(
+    make_update: MakeUpdate, given_up: GivenUp, runners: int, job: JobRecord
 ) -> None:
     """It is not failed: its runs may have succeeded before their runners were lost."""
     retries = Retries()
     for number in range(runners):
-        retries.learn(1.0, make_news(number, job), "t")
+        retries.learn(1.0, make_update(number, job), "t")
     assert retries.outcome(5.0, job) == (given_up if runners >= MAX_LOST_RUNNERS else None)
 
 
 @pytest.mark.parametrize("last", [silent, ended])
 def test_a_job_with_a_silent_and_an_ended_runner_is_given_up_for_silent_runners(
-    last: MakeNews, job: JobRecord
+    last: MakeUpdate, job: JobRecord
 ) -> None:
     retries = Retries()
     retries.learn(1.0, ended(0, job), "t")
@@ -88,8 +89,8 @@
 def test_runner_silent_messages_do_not_count(job: JobRecord) -> None:
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
-        news = RunnerSilent(LossId(f"i-{number}", number), [job.tasks[1].id], ["q"], [10])
-        assert retries.learn(1.0, news, "t") == []
+        update = RunnerSilent(LossId(f"i-{number}", number), [job.tasks[1].id], ["q"], [10])
+        assert retries.learn(1.0, update, "t") == []
     assert retries.outcome(5.0, job) is None
 
 
@@ -109,8 +110,8 @@
     assert retries.outcome(5.0, job) is None
 
 
-def test_losses_under_a_task_that_is_done_do_not_count(job: JobRecord) -> None:
-    """A network partition may delay the news of a loss under an earlier run of it."""
+def test_losses_during_a_task_that_is_done_do_not_count(job: JobRecord) -> None:
+    """A network partition may delay the message on a loss during an earlier run of it."""
     retries = Retries()
     job.tasks[1].phase = TaskPhase.DONE
     for number in range(MAX_LOST_RUNNERS):
@@ -118,7 +119,7 @@
     assert retries.outcome(5.0, job) is None
 
 
-def test_the_log_line_names_the_runners_lost_under_the_task(job: JobRecord) -> None:
+def test_the_log_line_names_the_runners_lost_while_running_the_task(job: JobRecord) -> None:
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, silent(number, job), "t")
@@ -155,7 +156,7 @@
 
 
 def test_a_loss_stops_counting_when_it_expires(job: JobRecord) -> None:
-    """It expires by time, without further news."""
+    """It expires by time, without a further message."""
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
         retries.learn(1.0, silent(number, job), "t")
@@ -164,13 +165,13 @@
 
 
 @pytest.mark.parametrize(
-    ("make_news", "kept"), [(silent, False), (ended, True)], ids=["silent", "ended"]
+    ("make_update", "kept"), [(silent, False), (ended, True)], ids=["silent", "ended"]
 )
 def test_ended_runners_are_remembered_while_their_job_is_resubmitted(
-    make_news: MakeNews, kept: bool, job: JobRecord
+    make_update: MakeUpdate, kept: bool, job: JobRecord
 ) -> None:
     retries = Retries()
     for number in range(MAX_LOST_RUNNERS):
-        retries.learn(1.0, make_news(number, job), "t")
+        retries.learn(1.0, make_update(number, job), "t")
     assert retries.outcome_on_submit(50.0, job) is not None
     assert (retries.outcome_on_submit(70.0, job) is not None) == kept
