--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -124,7 +124,8 @@
         self._evacuations = Evacuations()
         self._placement_due = False
         """Whether a message arrived since the last placement that may allow a task to be placed."""
-        self._sessions = 0
+        self._last_session = 0
+        """Number of the session opened last."""
         self._first_session_at: float | None = None
         """When the first session with a target was opened."""
         self._pauses = PauseDetector(times.session)
@@ -134,7 +135,7 @@
         """The outcome of new jobs while this host's link is overloaded; None to admit them."""
 
     @property
-    def jobs(self) -> int:
+    def job_count(self) -> int:
         """Number of admitted jobs that are not answered yet."""
         return len(self._jobs)
 
@@ -144,7 +145,7 @@
         return any(not job.caller_confirmed for job in self._jobs.all())
 
     @property
-    def confined_queues(self) -> int:
+    def confined_queue_count(self) -> int:
         """Number of queues confined to a few targets because their tasks crash runners."""
         return len(self._containment)
 
@@ -271,10 +272,10 @@
         would circulate forever.
         """
         logs = self._retries.learn(now, update, source)
-        is_new, confined = self._containment.learn(now, update, self._open_targets)
+        is_new, containment_logs = self._containment.learn(now, update, self._open_targets)
         if not logs and not is_new:
             return []
-        effects: list[Effect] = [*logs, *confined]
+        effects: list[Effect] = [*logs, *containment_logs]
         if source in self._targets:
             effects.append(BroadcastLoss(update))
         tasks = update.tasks if isinstance(update, RunnerLost) else []
@@ -411,7 +412,7 @@
         if self._containment.depends_on_time:
             effects += self._containment.follow(now, self._open_targets(), self._snapshot(now))
         effects += self._place(now)
-        snapshot = self._snapshot(now) if self.confined_queues else None
+        snapshot = self._snapshot(now) if self.confined_queue_count else None
         for job in self._jobs.all():
             effects += self._check_job(now, job, snapshot)
         return effects
@@ -467,7 +468,7 @@
 
     def _give_up(self, now: float, job: JobRecord, reason: str, retry_after: float) -> AnswerJob:
         """Drop a job, and answer it as refused only if it can't have run."""
-        ran = job.may_have_started or job.may_have_run
+        ran = job.may_have_started or job.placed_before
         outcome = GivenUp(reason) if ran else Refused(reason, retry_after)
         return self._answer(now, job, outcome)
 
@@ -510,12 +511,12 @@
         self, now: float, target: TargetRecord, hello: Hello
     ) -> tuple[Session, list[Effect]]:
         """Open a session with a target and requeue the runs of its previous one, which are over."""
-        self._sessions += 1
+        self._last_session += 1
         if self._first_session_at is None:
             self._first_session_at = now
         target.incarnation = hello.incarnation
         target.hall = hello.hall
-        session = target.session = Session(self._sessions, int(now * 1000))
+        session = target.session = Session(self._last_session, int(now * 1000))
         target.reset()
         if self._evacuations.known.revision:
             session.send(EvacuationUpdate(self._evacuations.known))
@@ -524,7 +525,7 @@
         target.held.clear()
         fields: dict[str, str | int | float] = {
             "target": target.name,
-            "session": self._sessions,
+            "session": self._last_session,
             "lost": len(lost),
         }
         log = note("session_opened", **fields)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrychoice.py
@@ -73,12 +73,12 @@
         """
         self._suspected_until[name] = now + SUSPECT_SECONDS
 
-    def wanted(self, now: float, linked: set[str]) -> list[EntryAddress]:
+    def wanted(self, now: float, connected: set[str]) -> list[EntryAddress]:
         """Return the entries to hold sessions with, in order of preference.
 
-        Only reports of the connected (`linked`) entries count, unless there are none.
+        Only reports of the `connected` entries count, unless there are none.
         """
-        sources = linked & self._known.keys() or set(self._known)
+        sources = connected & self._known.keys() or set(self._known)
         if self._ranked is None or self._ranked[0] != sources:
             known: dict[str, EntryAddress] = {}
             for source in sources:
@@ -87,7 +87,7 @@
         usable = {
             entry.name: entry
             for entry in self._ranked[1]
-            if entry.name in linked or now >= self._suspected_until.get(entry.name, 0.0)
+            if entry.name in connected or now >= self._suspected_until.get(entry.name, 0.0)
         }
         return [usable[name] for name in self._select(list(usable))]
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobs.py
@@ -105,7 +105,7 @@
     expected: JobPrediction
     caller_confirmed: bool = True
     """Whether its caller was still connected at `earliest_placement`."""
-    may_have_run: bool = False
+    placed_before: bool = False
     """Whether an earlier submission of it was placed by this entry."""
     earliest_placement: float = 0.0
     """When its tasks may first be placed; a disconnect of its caller would be known by then."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/jobtable.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/jobtable.py
@@ -46,7 +46,7 @@
         A resubmitted job continues its run numbers, so that late messages on runs of the previous
         submission are not taken for messages on its own.
         """
-        job.may_have_run = self.may_have_run(job.request.key)
+        job.placed_before = self.may_have_run(job.request.key)
         for task, number in zip(job.tasks, self._numbers.pop(job.request.key, ()), strict=False):
             task.number = number
         self._by_caller[job.caller] = job
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
@@ -15,13 +15,13 @@
     sessions: Callable[[], int],
 ) -> None:
     """Add an entry's gauges to its metrics; `version` and `sessions` are called for each page."""
-    metrics.gauge("paddleshunt_jobs", "Jobs held.", lambda: dispatcher.jobs)
+    metrics.gauge("paddleshunt_jobs", "Jobs held.", lambda: dispatcher.job_count)
     metrics.gauge("paddleshunt_catalog_version", "Version in force.", version)
     metrics.gauge("paddleshunt_sessions", "Targets in session.", sessions)
     metrics.gauge(
         "paddleshunt_confined_queues",
         "Queues confined to a few targets, as their tasks met lost runners too often.",
-        lambda: dispatcher.confined_queues,
+        lambda: dispatcher.confined_queue_count,
     )
     metrics.gauge(
         "paddleshunt_report_age_seconds",
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -188,7 +188,7 @@
         began = self._now()
         self._leaving = True
         self._caller_server.closing = True
-        self._context.event("leaving", jobs=self._dispatcher.jobs)
+        self._context.event("leaving", jobs=self._dispatcher.job_count)
         self._context.spawn(self._store_follower.withdraw())
         last = began + self._config.bounds.grace - END_MARGIN
         self._dispatcher.leave(last)
@@ -197,7 +197,7 @@
             await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
         # The balancer sends no new connections now; callers may still use keep-alive ones.
         self._caller_server.close_idle()
-        while self._now() < last and self._dispatcher.jobs:
+        while self._now() < last and self._dispatcher.job_count:
             await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
         self._act(self._dispatcher.finish(self._now()))
         self._flush()
--- a/testing/core/leased/test_entrychoice.py
+++ b/testing/core/leased/test_entrychoice.py
@@ -14,8 +14,10 @@
 ENTRIES = [EntryAddress(f"e{n}", f"10.0.0.{n}:7720") for n in range(11)]
 
 
-def names(choice: EntryChoice, now: float = 1.0, linked: frozenset[str] = frozenset()) -> list[str]:
-    return [entry.name for entry in choice.wanted(now, set(linked))]
+def names(
+    choice: EntryChoice, now: float = 1.0, connected: frozenset[str] = frozenset()
+) -> list[str]:
+    return [entry.name for entry in choice.wanted(now, set(connected))]
 
 
 def choice_of(target: str) -> EntryChoice:
@@ -77,7 +79,7 @@
 def test_reports_of_entries_that_are_not_connected_are_ignored() -> None:
     choice = choice_of("t1")
     choice.replace_known("e1", ENTRIES[1:3])
-    assert sorted(names(choice, linked=frozenset({"e1"}))) == ["e1", "e2"]
+    assert sorted(names(choice, connected=frozenset({"e1"}))) == ["e1", "e2"]
 
 
 def test_a_suspected_entry_that_has_restarted_is_selected_at_once() -> None:
@@ -105,7 +107,7 @@
     choice.update_known("e0", [ENTRIES[3]], ["e1"])
     assert sorted(names(choice)) == ["e0", "e2", "e3"]
     choice.update_known("e2", [ENTRIES[1]], [])
-    assert sorted(names(choice, linked=frozenset({"e0"}))) == ["e0", "e2", "e3"]
+    assert sorted(names(choice, connected=frozenset({"e0"}))) == ["e0", "e2", "e3"]
 
 
 def test_of_too_many_open_sessions_those_of_the_highest_rank_are_kept() -> None:
