--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/livenesschecks.py
@@ -1,9 +1,9 @@
-"""Tracks targets that were assigned tasks in an idle session until they confirm that they live.
+"""Tracks targets that were assigned tasks in idle sessions until they confirm that they are alive.
 
-The lease of an idle session is over, so the target starts the tasks only after the entry has echoed
-its reply. A target that doesn't reply in time can't have started any: its tasks are withdrawn and
-placed elsewhere at once. The withdrawal precedes any later echo in the session, so the target
-receives it before it may start them.
+The lease of an idle session has expired, so the target starts the tasks only after the entry has
+echoed its reply. A target that doesn't reply in time can't have started any: its tasks are
+withdrawn and placed elsewhere at once. The withdrawal precedes any later echo in the session, so
+the target receives it before it may start them.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 
 @final
 class LivenessChecks:
-    """The targets of one entry that have to confirm that they live."""
+    """The targets of one entry that have to confirm that they are alive."""
 
     def __init__(self, times: LeaseTimes, jobs: JobTable) -> None:
         self._times = times
@@ -33,7 +33,7 @@
         self._pending: list[TargetRecord] = []
 
     def expect_confirmations(self, now: float, assigned: Iterable[TargetRecord]) -> None:
-        """Expect a confirmation from those of the `assigned` targets whose lease is over."""
+        """Expect a confirmation from those of the `assigned` targets whose lease has expired."""
         for target in assigned:
             if target.awaited_since is None and not target.may_have_started(self._times, now):
                 target.awaited_since = now
@@ -45,7 +45,7 @@
         return min(deadlines, default=None)
 
     def check(self, now: float) -> list[Log]:
-        """Withdraw the tasks of targets that missed the deadline, and return them to waiting."""
+        """Withdraw the tasks of targets that missed the deadline, to place them again."""
         logs: list[Log] = []
         for target in self._pending:
             if target.awaited_since is not None and now > _deadline(target.awaited_since, target):
