--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -145,13 +145,15 @@
         self._stamp_due = False
         return [run for run, _ in waiting], stale
 
-    def next_frame(self, now: float, times: LeaseTimes, *, held: bool, beat: bool) -> Frame | None:
-        """Return the frame that is due, or None; `beat` allows heartbeats to be sent now."""
+    def next_frame(
+        self, now: float, times: LeaseTimes, *, held: bool, heartbeat_allowed: bool
+    ) -> Frame | None:
+        """Return the frame that is due, or None if there is none."""
         session = self.session
         if session is None:
             return None
         interval = times.heartbeat if held else times.idle_heartbeat - self._advance
-        due = beat and now > self._last_heartbeat + interval - times.heartbeat / 2
+        due = heartbeat_allowed and now > self._last_heartbeat + interval - times.heartbeat / 2
         if not (due or self._stamp_due or session.pending):
             return None
         # In an idle session the entry answers only heartbeats reliably.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -201,12 +201,14 @@
         link = self._links.get(entry)
         return now - link.last_received if link else 0.0
 
-    def next_frame(self, now: float, entry: str, *, beat: bool) -> Frame | None:
-        """Return the frame that is due to an entry, if any; `beat` permits heartbeats."""
+    def next_frame(self, now: float, entry: str, *, heartbeat_allowed: bool) -> Frame | None:
+        """Return the frame that is due to an entry, or None if there is none."""
         link = self._links.get(entry)
         if link is None:
             return None
-        return link.next_frame(now, self._times, held=self._is_held(entry), beat=beat)
+        return link.next_frame(
+            now, self._times, held=self._is_held(entry), heartbeat_allowed=heartbeat_allowed
+        )
 
     def classify(self, status: RunnerStatus) -> HeartbeatClass:
         """Return how a heartbeat relates to the runner's current incarnation."""
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -539,7 +539,7 @@
         if next_report is not None:
             self._schedule_report_flush(next_report)
         for name, link in self._entry_links.items():
-            frame = self._worker.next_frame(now, name, beat=heartbeat)
+            frame = self._worker.next_frame(now, name, heartbeat_allowed=heartbeat)
             if frame is not None:
                 link.send(frame)
 
--- a/testing/core/leased/test_entrylink.py
+++ b/testing/core/leased/test_entrylink.py
@@ -44,7 +44,7 @@
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     worker.prepare_frames(1.0)
-    worker.next_frame(1.0, "e", beat=True)
+    worker.next_frame(1.0, "e", heartbeat_allowed=True)
     worker.frame_received(1.001, "e", Frame(1, 1, 1001, 1000, []))
     return worker
 
@@ -59,13 +59,13 @@
 
 def sent_bodies(worker: Worker, now: float) -> list[object]:
     worker.prepare_frames(now)
-    sent = worker.next_frame(now, "e", beat=False)
+    sent = worker.next_frame(now, "e", heartbeat_allowed=False)
     return list(sent.bodies) if sent else []
 
 
 def test_a_run_assigned_after_the_lease_expired_waits_for_a_later_echo(worker: Worker) -> None:
     assert started(worker.frame_received(2.0, "e", frame(1, 1.0, ASSIGN))) == []
-    assert worker.next_frame(2.0, "e", beat=False) is not None
+    assert worker.next_frame(2.0, "e", heartbeat_allowed=False) is not None
     assert started(worker.frame_received(2.001, "e", frame(2, 1.0))) == []
     assert started(worker.frame_received(2.002, "e", frame(2, 2.0))) == [RUN]
 
@@ -78,7 +78,7 @@
 ) -> None:
     now = 1.0 + TIMES.session - left
     assert (started(worker.frame_received(now, "e", frame(1, 1.0, ASSIGN))) == [RUN]) is starts
-    assert worker.next_frame(now, "e", beat=False) is not None or starts
+    assert worker.next_frame(now, "e", heartbeat_allowed=False) is not None or starts
     assert (started(worker.frame_received(now + 0.002, "e", frame(2, now))) == [RUN]) is not starts
 
 
@@ -121,7 +121,7 @@
     count = 0
     for tick in range(round(seconds / TIMES.heartbeat)):
         now = since + tick * TIMES.heartbeat
-        sent = worker.next_frame(now, "e", beat=True)
+        sent = worker.next_frame(now, "e", heartbeat_allowed=True)
         if sent is not None:
             count += 1
             session = worker.session("e")
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -54,7 +54,7 @@
         """Send the reports that are due, and record the resources last reported to each entry."""
         self.worker.prepare_frames(self.now)
         for entry in ENTRIES:
-            frame = self.worker.next_frame(self.now, entry, beat=False)
+            frame = self.worker.next_frame(self.now, entry, heartbeat_allowed=False)
             for body in frame.bodies if frame else []:
                 if isinstance(body, RunnerReport):
                     self.offered[entry] = body.free
--- a/testing/leasedfleet.py
+++ b/testing/leasedfleet.py
@@ -359,7 +359,7 @@
         session = worker.session(entry)
         if self.targets[target].moves and session is not None:
             worker.prepare_frames(self.now)
-            frame = worker.next_frame(self.now, entry, beat=due)
+            frame = worker.next_frame(self.now, entry, heartbeat_allowed=due)
             if frame is not None:
                 link.to_entry.append((self.now, frame))
                 self.frames += 1
