--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -32,12 +32,12 @@
         self._offers = offers
 
     def prepare(
-        self, now: float, links: Mapping[str, EntryLink], *, sheds: bool = False
+        self, now: float, links: Mapping[str, EntryLink], *, network_overloaded: bool = False
     ) -> float | None:
         """Queue the ends and reports that are due; return when the next is due, or None.
 
-        With `sheds`, reports that can wait are sent at most once a heartbeat, as this host's
-        network link is overloaded.
+        If this host's network link is overloaded, reports that can wait are sent at most once a
+        heartbeat.
         """
         next_due: float | None = None
         plenty = self._has_plenty()
@@ -52,7 +52,7 @@
             if link.report_due or _has_news(now, report, link):
                 held = link.is_held(has_runs=self._control.table.has_entry(name))
                 interval = link.min_report_interval(self._times, report, plenty=plenty, held=held)
-                if sheds:
+                if network_overloaded:
                     interval = max(interval, self._times.heartbeat)
                 at_once = holder == name or (holder is not None and _withdraws_offer(report, link))
                 due = now if at_once else link.reported + interval
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -63,8 +63,8 @@
         self._losses = LossHistory()
         """Losses of this target's runner, to be reported to entries that connect later."""
         self._pauses = PauseDetector(PAUSE_HEARTBEATS * times.heartbeat)
-        self.sheds = False
-        """Whether the host's link is overloaded, so that non-urgent reports wait for heartbeats."""
+        self.network_overloaded = False
+        """Whether the host's network link is overloaded, so that reports that can wait do."""
 
     @property
     def runner_status(self) -> RunnerStatus | None:
@@ -158,7 +158,7 @@
         fields: dict[str, str | int | float] = {"entry": hello.name, "session": hello.session}
         return [*effects, note("session_opened", **fields)]
 
-    def session_left(self, now: float, entry: str) -> float:
+    def session_lease_left(self, now: float, entry: str) -> float:
         """Return the remaining seconds of a session's lease; 0 or less if it has ended."""
         session = self.session(entry)
         return 0.0 if session is None else session.confirmed_ms / 1000 + self._times.session - now
@@ -308,7 +308,7 @@
     def prepare_frames(self, now: float) -> float | None:
         """Put due ends and reports into the sessions; return when the next is due, if any is."""
         self._collect(now)
-        return self._reporter.prepare(now, self._links, sheds=self.sheds)
+        return self._reporter.prepare(now, self._links, network_overloaded=self.network_overloaded)
 
     def _log_pause(self, now: float) -> list[Effect]:
         """Log a pause of this process, before which decisions may be outdated."""
@@ -334,7 +334,7 @@
 
     def _end_session(self, now: float, entry: str, reason: str) -> list[Effect]:
         link = self._links[entry]
-        ended_at = now + min(0.0, self.session_left(now, entry))
+        ended_at = now + min(0.0, self.session_lease_left(now, entry))
         self._collect(now)
         link.drop()
         self._offers.drop(entry)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -310,7 +310,7 @@
 
     async def _start_run(self, order: StartRun) -> None:
         began = self._now()
-        session_left = self._worker.session_left(began, order.entry)
+        session_lease_left = self._worker.session_lease_left(began, order.entry)
         answer = await self._runner.start(order, lambda: self._may_send(order))
         now = self._now()
         self._context.metrics.stage("ordered", began - order.decided)
@@ -323,7 +323,7 @@
             after_ms=round((now - began) * 1000),
             decided_ms=round((began - order.decided) * 1000),
             entry=order.entry,
-            session_left_ms=round(session_left * 1000),
+            session_left_ms=round(session_lease_left * 1000),
         )
         self._act(self._worker.start_answered(now, order.run, answer))
 
@@ -479,7 +479,7 @@
         while True:
             now = self._now()
             self._meter.sample_when_due(now)
-            self._worker.sheds = self._meter.pressure.level is not PressureLevel.NORMAL
+            self._worker.network_overloaded = self._meter.pressure.level is not PressureLevel.NORMAL
             self._act(self._worker.tick(now))
             self._close_surplus_sessions(now)
             self._dialer.refresh(now, [entry.address for entry in self._wanted_entries()])
--- a/testing/core/leased/test_targetlogs.py
+++ b/testing/core/leased/test_targetlogs.py
@@ -49,8 +49,8 @@
 
 def test_remaining_session_lease_counts_from_the_newest_echo(worker: Worker) -> None:
     worker.frame_received(1.3, "e", Frame(1, 0, 1300, 1200, []))
-    assert worker.session_left(1.3, "e") == pytest.approx(TIMES.session - 0.1)
-    assert worker.session_left(1.3, "unknown") == 0.0
+    assert worker.session_lease_left(1.3, "e") == pytest.approx(TIMES.session - 0.1)
+    assert worker.session_lease_left(1.3, "unknown") == 0.0
 
 
 def test_pause_is_logged_once_with_its_length(worker: Worker) -> None:
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -146,7 +146,7 @@
 def test_overloaded_link_delays_reports_to_heartbeats_but_not_ends() -> None:
     times = lease_times(Bounds())
     worker = worker_with_run()
-    worker.sheds = True
+    worker.network_overloaded = True
     reports(worker, 1.0)
     worker.frame_received(1.02, "e", assignment(2, 1020, 6))
     assert worker.prepare_frames(1.02) == 1.0 + times.heartbeat
