--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/entrylink.py
@@ -14,11 +14,11 @@
 from paddleshunt_core.leased.session import Session
 from paddleshunt_core.leased.wire import End, Ended, Frame, RunId, RunnerReport
 
-REPORT_SECONDS = 0.03
+MIN_REPORT_INTERVAL = 0.03
 """Minimum seconds between two reports to an entry, except for reports sent with ends of runs."""
 
-IDLE_REPORT_SECONDS = 0.25
-"""The same in an idle session, for changes that leave free resources as plentiful or scarce."""
+MIN_IDLE_REPORT_INTERVAL = 0.25
+"""The same in an idle session, if free resources stay plentiful, or stay scarce."""
 
 MAX_PENDING = 256
 """Maximum number of pending runs of one entry: more than fit on a runner."""
@@ -33,13 +33,14 @@
     session: Session | None = None
     ends: list[tuple[RunId, End]] = field(default_factory=list)
     report_due: bool = True
-    """Whether to send a report even if unchanged: it also shows which messages it accounts for."""
-    reported: float = float("-inf")
-    plenty: bool = False
+    """Whether to send a report even if unchanged, as it also accounts for received messages."""
+    reported_at: float = float("-inf")
+    """When the last report was queued."""
+    plentiful: bool = False
     """Whether resources were plentiful in the last report."""
     report: RunnerReport | None = None
     """The last report in this session."""
-    retired: float | None = None
+    retiring_since: float | None = None
     """When the session began to close in favour of other entries; None if it did not."""
     pending: list[tuple[Run, float]] = field(default_factory=list)
     """Runs to start once the lease is confirmed, each with its latest start time."""
@@ -86,7 +87,7 @@
     def connected(self, now: float) -> None:
         """Handle a new connection: frames sent over an earlier one may be lost."""
         self.last_received = now
-        self.retired = None
+        self.retiring_since = None
         self.report_due = True
         self._last_heartbeat = float("-inf")
 
@@ -95,8 +96,8 @@
         if self.last_received >= self._last_heartbeat:
             self._last_heartbeat = float("-inf")
 
-    def drop(self) -> None:
-        """End the session; its pending runs never start."""
+    def close(self) -> None:
+        """Close the session; its pending runs never start."""
         self.session = None
         self.ends = []
         self.pending = []
@@ -170,26 +171,26 @@
             self._last_ends_number = self.session.send(Ended(self.ends))
             self.ends = []
 
-    def send_report(self, now: float, report: RunnerReport, *, plenty: bool) -> None:
+    def send_report(self, now: float, report: RunnerReport, *, plentiful: bool) -> None:
         """Queue a report in the session."""
         if self.session is not None:
             self.session.send(report)
             self.report = report
             self.report_due = False
-            self.reported = now
-            self.plenty = plenty
+            self.reported_at = now
+            self.plentiful = plentiful
 
     def min_report_interval(
-        self, times: LeaseTimes, report: RunnerReport, *, plenty: bool, held: bool
+        self, times: LeaseTimes, report: RunnerReport, *, plentiful: bool, held: bool
     ) -> float:
         """Return the minimum seconds between the last report and this one."""
         last = self.report
         if not held and last is not None:
             if (last.state, last.health) != (report.state, report.health):
                 return 0.0
-            if plenty == self.plenty:
-                return IDLE_REPORT_SECONDS
-        return times.heartbeat if plenty and self.plenty else REPORT_SECONDS
+            if plentiful == self.plentiful:
+                return MIN_IDLE_REPORT_INTERVAL
+        return times.heartbeat if plentiful and self.plentiful else MIN_REPORT_INTERVAL
 
     def is_silent(self, now: float, times: LeaseTimes, *, held: bool) -> bool:
         """Whether to reconnect, as a heartbeat has been unanswered for too long."""
@@ -199,7 +200,7 @@
         return not answered and now > self._last_heartbeat + times.reconnect_after
 
     def has_expired(self, now: float, times: LeaseTimes, *, has_runs: bool) -> bool:
-        """Whether the lease of its runs has expired or, without runs, it was silent too long."""
+        """Whether the session is over: its lease expired or, without runs, the entry was silent."""
         if has_runs:
             return not self.is_confirmed(now, times)
         return now > self.last_received + times.idle_session
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/foreignruns.py
@@ -25,8 +25,8 @@
         """Time at which the incarnation became known, at the latest that of the first poll."""
         self._paused = 0.0
         """Seconds since then for which the runner's clock may have stopped."""
-        self.clean = False
-        """Whether this incarnation has been shown to have none, or can have none left."""
+        self.ruled_out = False
+        """Whether the incarnation was found without foreign runs, or all must have ended."""
 
     def __bool__(self) -> bool:
         return bool(self._runs)
@@ -37,7 +37,7 @@
     def reset(self, now: float) -> None:
         """Discard what is known; only polls sent from now on count."""
         self._runs = set()
-        self.clean = False
+        self.ruled_out = False
         self._known_since = now
         self._paused = 0.0
 
@@ -46,19 +46,19 @@
         return self._known_since is None or answer.sent >= self._known_since
 
     def clock_paused(self, seconds: float) -> None:
-        """Note that the runner's clock may have stopped for so long."""
+        """Record that the runner's clock may have stopped for some seconds."""
         self._paused += seconds
 
     def update(self, answer: PollAnswer, ordered: Container[RunId]) -> None:
-        """Take in the runner's lists; `ordered` are the runs that this process ordered."""
+        """Update from the runner's lists; `ordered` are the runs that this process ordered."""
         ended = {row.run for row in answer.finished}
         listed = {row.run for row in answer.running}
         self._runs = {run for run in listed if run not in ordered and run not in ended}
-        if self._runs or self.clean or not self.is_after_reset(answer):
+        if self._runs or self.ruled_out or not self.is_after_reset(answer):
             return
         if self._known_since is None:
             self._known_since = answer.sent
-        self.clean = not answer.partial or self._must_have_ended(self._known_since, answer.sent)
+        self.ruled_out = not answer.partial or self._must_have_ended(self._known_since, answer.sent)
 
     def _must_have_ended(self, known_since: float, now: float) -> bool:
         """Whether all leases granted before `known_since`, or by this process, have ended."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/health.py
@@ -1,4 +1,4 @@
-"""A runner's health as its target sees it: recent failures, stuck runs and speed."""
+"""A runner's health as its target estimates it from failures, stuck runs and speed."""
 
 from collections import deque
 from typing import final
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.wire import Health
 
 RECENT_ENDS = 8
-"""Number of recent ends of runs that are considered."""
+"""Number of latest ends of runs that count for a runner's health."""
 
 SICK_FAILURES = 3
 """Failed runs among `RECENT_ENDS` with which a runner counts as sick."""
@@ -35,6 +35,7 @@
         self._sick_until = 0.0
         self._passed_probation = True
         self._progress: deque[tuple[float, float, float]] = deque()
+        """Samples: their time, the seconds of work done, and the seconds that it took."""
 
     def level(self, now: float) -> Health:
         """Return the runner's health."""
@@ -47,7 +48,7 @@
         self._cold_until = now + cold if cold else min(self._cold_until, now)
 
     def overrun_factor(self, started: float) -> float:
-        """Return how many times the usual duration a run begun at `started` may take."""
+        """Return how many times its estimate a run begun at `started` may take."""
         return self._cold_overrun if started < self._cold_until else 1.0
 
     def is_slow(self, now: float) -> bool:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/incarnations.py
@@ -1,4 +1,4 @@
-"""Tracks the incarnations of a runner and tells current heartbeats from late ones.
+"""Tracks the incarnations of a runner and distinguishes current heartbeats from late ones.
 
 A network partition can delay a heartbeat until its sender has crashed and another incarnation has
 registered at the same address, even under the same id. So an incarnation that has ended is never
@@ -7,7 +7,7 @@
 the next, registered while the current one drains: it is considered again when that one has ended.
 
 A sequence number far ahead may come from another process; accepted, it would make the incarnation's
-own heartbeats look late. So it is accepted only after another one as far ahead, but smaller.
+own heartbeats look late. So it is accepted only if it continues a smaller one, also far ahead.
 """
 
 from collections import deque
@@ -24,8 +24,8 @@
 MAX_SEQUENCE_GAP = 16
 """Maximum increase of the sequence number between heartbeats that is accepted at once.
 
-After a larger gap the second heartbeat is accepted. It also bounds how many of an incarnation's own
-heartbeats another process's number can make look late.
+After a larger gap, only a second heartbeat with a higher number is accepted. It also bounds how
+many of an incarnation's own heartbeats another process's number can make look late.
 """
 
 
@@ -50,14 +50,14 @@
         self._current: RunnerIncarnation | None = None
         self.changes = 0
         """How often the current incarnation has been replaced or has ended."""
-        self._has_no_start = False
-        """Whether its answers carried no start time; an incarnation with one is another."""
+        self._lacks_start_time = False
+        """Whether its answers carry no start time; one that has a start time is then another."""
         self._sequence = 0
-        self._far: int | None = None
+        self._far_sequence: int | None = None
         """Sequence number of the last ignored heartbeat, if it was too far ahead."""
         self._ended: deque[RunnerIncarnation] = deque(maxlen=MAX_REMEMBERED)
         self._denied: deque[RunnerIncarnation] = deque(maxlen=MAX_REMEMBERED)
-        """Incarnations that the runner has denied to be while the current one lasts."""
+        """Incarnations that the runner has denied being, since the current one began."""
 
     @property
     def current(self) -> RunnerIncarnation | None:
@@ -79,34 +79,40 @@
         return HeartbeatClass.CURRENT
 
     def _is_in_sequence(self, status: RunnerStatus) -> bool:
-        """Whether its number is near the last, or follows another far one; the first may be any."""
+        """Whether the number is at most `MAX_SEQUENCE_GAP` ahead, or continues one that was not.
+
+        The first number may be any.
+        """
         if not self._sequence or status.sequence <= self._sequence + MAX_SEQUENCE_GAP:
             return True
-        return self._far is not None and status.sequence > self._far
+        return self._far_sequence is not None and status.sequence > self._far_sequence
 
-    def note_late(self, status: RunnerStatus) -> None:
-        """Note a late heartbeat: if its number is far ahead, the next one may continue from it."""
+    def record_late(self, status: RunnerStatus) -> None:
+        """Record a late heartbeat; if its number is far ahead, the next may continue from it."""
         if not self.is_current(status.runner) or status.sequence <= self._sequence:
             return
-        if self._far is None or not 0 <= self._far - status.sequence <= MAX_SEQUENCE_GAP:
-            self._far = status.sequence
+        if (
+            self._far_sequence is None
+            or not 0 <= self._far_sequence - status.sequence <= MAX_SEQUENCE_GAP
+        ):
+            self._far_sequence = status.sequence
 
     def is_current(self, incarnation: RunnerIncarnation) -> bool:
         """Whether this may be the current incarnation, as far as their start times are known."""
-        if self._current is None or (self._has_no_start and incarnation.born):
+        if self._current is None or (self._lacks_start_time and incarnation.born):
             return False
         return self._current.may_be_same(incarnation)
 
-    def follow(self, status: RunnerStatus) -> None:
+    def accept(self, status: RunnerStatus) -> None:
         """Accept a heartbeat: its sender becomes the current incarnation."""
         self.set_current(status.runner)
-        self._far = None
+        self._far_sequence = None
         self._sequence = max(self._sequence, status.sequence)
 
     def confirm(self, incarnation: RunnerIncarnation) -> None:
         """Make current the incarnation that the runner's own answer names."""
         self.set_current(incarnation)
-        self._has_no_start = self._current is not None and not self._current.born
+        self._lacks_start_time = self._current is not None and not self._current.born
 
     def set_current(self, incarnation: RunnerIncarnation) -> None:
         """Make an incarnation current, or learn the start time of the current one."""
@@ -118,24 +124,24 @@
             self._current = incarnation
 
     def end_current(self, *, answered: bool = True) -> None:
-        """Note that the current incarnation has ended; one that never `answered` may yet start."""
+        """End the current incarnation; one that never `answered` may yet start."""
         if self._current is not None and answered:
             self.mark_ended(self._current)
         if self._current is not None:
             self.changes += 1
         self._current = None
-        self._has_no_start = False
+        self._lacks_start_time = False
         self._sequence = 0
-        self._far = None
+        self._far_sequence = None
         self._denied.clear()
 
     def deny(self, incarnation: RunnerIncarnation) -> None:
-        """Note that the runner denied to be this incarnation, which may still be the next one."""
+        """Record that the runner denied being this incarnation, which may start later."""
         if incarnation not in self._denied:
             self._denied.append(incarnation)
 
     def mark_ended(self, incarnation: RunnerIncarnation) -> None:
-        """Note that an incarnation has ended; its heartbeats are late from now on."""
+        """Record that an incarnation has ended; its heartbeats are late from now on."""
         if incarnation not in self._ended:
             self._ended.append(incarnation)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/progress.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/progress.py
@@ -7,25 +7,25 @@
 """Seconds without progress after which a run is stopped, to be retried elsewhere."""
 
 MIN_STUCK_SECONDS = 0.15
-"""Lower bound of this time for runs whose whole estimate is shorter than `STUCK_SECONDS`."""
+"""Lower bound of that time for runs whose estimate is shorter than `STUCK_SECONDS`."""
 
 STUCK_POLLS = 2
 """Consecutive polls without progress before a run counts as stuck."""
 
 HUNG_SECONDS = 0.12
-"""Seconds without progress of any run after which a runner counts as hung."""
+"""Seconds during which no run makes progress after which a runner counts as hung."""
 
 HUNG_SHARE = 0.03
-"""The same as a share of a run's estimate, as progress is reported in whole percents."""
+"""Lower bound of that time as a share of a run's estimate, as percents are whole."""
 
-HUNG_RUNS = 2
-"""Runs that must all be stalled; a single one may be stalled by its own task."""
+MIN_HUNG_RUNS = 2
+"""Minimum number of stalled runs of a hung runner; a single task may stall by itself."""
 
 RESTART_FACTOR = 1.2
 """A run on a slow runner is stopped if the rest takes more than this multiple of its estimate."""
 
 
-def note_progress(
+def record_progress(
     now: float, observed_at: float, run: Run, percent: int, health: RunnerHealth
 ) -> None:
     """Record that a poll showed `percent` of a run done, and its effect on the runner's health.
@@ -34,7 +34,7 @@
     read late; the time in between is not counted against the runner.
     """
     if percent > run.percent:
-        _note_work(now, observed_at, run, percent, 0.0, health)
+        _record_work(now, observed_at, run, percent, 0.0, health)
         run.percent = percent
         run.progressed_at = now
         run.stalled_polls = 0
@@ -43,17 +43,17 @@
         unreported_work = max(
             run.unreported_work, min(observed_at - run.progressed_at, run.estimate / 100)
         )
-        _note_work(now, observed_at, run, run.percent, unreported_work, health)
+        _record_work(now, observed_at, run, run.percent, unreported_work, health)
         run.stalled_polls += 1
     run.observed_at = max(run.observed_at, observed_at)
 
 
-def note_done(now: float, observed_at: float, run: Run, health: RunnerHealth) -> None:
+def record_done(now: float, observed_at: float, run: Run, health: RunnerHealth) -> None:
     """Record that a poll showed a run as done, and its effect on the runner's health."""
-    _note_work(now, observed_at, run, 100, 0.0, health)
+    _record_work(now, observed_at, run, 100, 0.0, health)
 
 
-def _note_work(
+def _record_work(
     now: float,
     observed_at: float,
     run: Run,
@@ -67,19 +67,19 @@
     health.progressed(now, work, max(0.0, observed_at - run.observed_at))
 
 
-def is_stuck(now: float, run: Run, patience: float = 1.0) -> bool:
+def is_stuck(now: float, run: Run, overrun_factor: float = 1.0) -> bool:
     """Whether a run has made no progress for so long that it is to be retried elsewhere.
 
-    `patience` is the factor by which the limit is extended while the runner is cold.
+    `overrun_factor` multiplies the limit while the runner is cold.
     """
     return _no_progress(
-        now, run, patience * min(STUCK_SECONDS, max(MIN_STUCK_SECONDS, run.estimate))
+        now, run, overrun_factor * min(STUCK_SECONDS, max(MIN_STUCK_SECONDS, run.estimate))
     )
 
 
-def is_stalled(now: float, run: Run, patience: float = 1.0) -> bool:
-    """Whether a run has made no recent progress; if this holds for all, their runner hangs."""
-    return _no_progress(now, run, patience * max(HUNG_SECONDS, HUNG_SHARE * run.estimate))
+def is_stalled(now: float, run: Run, overrun_factor: float = 1.0) -> bool:
+    """Whether a run has made no recent progress; a runner hangs if this holds for all its runs."""
+    return _no_progress(now, run, overrun_factor * max(HUNG_SECONDS, HUNG_SHARE * run.estimate))
 
 
 def is_faster_elsewhere(run: Run, speed: float) -> bool:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/refusals.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/refusals.py
@@ -18,7 +18,7 @@
 """Seconds between two log lines for one sender and kind, so that one sender can't flood the log."""
 
 MAX_LINES_PER_KIND = 20
-"""Log lines for one kind in `LINE_INTERVAL_SECONDS`, across senders, whose names may be made up."""
+"""Log lines for one kind in `LINE_INTERVAL_SECONDS`, across senders, whose names may be forged."""
 
 MAX_SENDERS = 256
 """Pairs of sender and kind that are tracked at a time."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/reporting.py
@@ -40,40 +40,46 @@
         heartbeat.
         """
         next_due: float | None = None
-        plenty = self._has_plenty()
+        plentiful = self._is_plentiful()
         free = self._control.offered(now)
-        holder = self._holder(now, free, plenty)
-        if holder is not None:
+        exclusive_entry = self._exclusive_entry(now, free, plentiful)
+        if exclusive_entry is not None:
             next_due = self._offers.expires_at()
         for name, link in links.items():
             if link.session is None:
                 continue
-            report = self._report(now, link, free if holder in (None, name) else NO_RESOURCES)
-            if link.report_due or _has_news(now, report, link):
+            report = self._report(
+                now, link, free if exclusive_entry in (None, name) else NO_RESOURCES
+            )
+            if link.report_due or _has_changed(now, report, link):
                 held = link.is_held(has_runs=self._control.table.has_entry(name))
-                interval = link.min_report_interval(self._times, report, plenty=plenty, held=held)
+                interval = link.min_report_interval(
+                    self._times, report, plentiful=plentiful, held=held
+                )
                 if network_overloaded:
                     interval = max(interval, self._times.heartbeat)
-                at_once = holder == name or (holder is not None and _withdraws_offer(report, link))
-                due = now if at_once else link.reported + interval
+                at_once = exclusive_entry == name or (
+                    exclusive_entry is not None and _withdraws_offer(report, link)
+                )
+                due = now if at_once else link.reported_at + interval
                 if link.ends or now >= due:
-                    link.send_report(now, report, plenty=plenty)
+                    link.send_report(now, report, plentiful=plentiful)
                 else:
                     next_due = due if next_due is None else min(next_due, due)
             link.send_ends()
         return next_due
 
-    def _has_plenty(self) -> bool:
+    def _is_plentiful(self) -> bool:
         control = self._control
         if control.status is None or control.state() is not RunnerState.READY:
             return False
         return control.table.used.share_of(control.status.capacity) < 1 - PLENTY_SHARE
 
-    def _holder(self, now: float, free: Resources, plenty: bool) -> str | None:
-        """Return the only entry that is offered the free resources; None if all are."""
+    def _exclusive_entry(self, now: float, free: Resources, plentiful: bool) -> str | None:
+        """Return the one entry that is offered the free resources; None if all entries are."""
         if self._control.level is not Health.GOOD:
             return None
-        if plenty and not self._offers.is_contended(free):
+        if plentiful and not self._offers.is_contended(free):
             return None
         return self._offers.offered_to(now, free)
 
@@ -83,31 +89,31 @@
         return RunnerReport(
             service=status.service if status else "",
             runner=status.runner.id if status else "",
-            state=control.state() if link.retired is None else RunnerState.LEAVING,
+            state=control.state() if link.retiring_since is None else RunnerState.LEAVING,
             health=control.level,
             capacity=status.capacity if status else NO_RESOURCES,
             free=free,
             labels=status.labels if status else (),
-            cold_ms=round(control.cold(now) * 1000),
+            cold_ms=round(control.cold_remaining(now) * 1000),
             kind=status.kind if status else "",
             born=status.runner.born if status else 0,
         )
 
 
 def _withdraws_offer(report: RunnerReport, link: EntryLink) -> bool:
-    """Whether a report offers less than the last one: tasks sent for that one would be rejected."""
+    """Whether a report offers less than the last one, so that tasks sent for that may not fit."""
     last = link.report
     return last is not None and report.free != last.free and report.free.fits(last.free)
 
 
-def _has_news(now: float, report: RunnerReport, link: EntryLink) -> bool:
-    """Whether a report differs from the last one by more than the passing of the cold time."""
+def _has_changed(now: float, report: RunnerReport, link: EntryLink) -> bool:
+    """Whether a report differs from the last one by more than the elapsed part of the warm-up."""
     last = link.report
     if report == last:
         return False
     if last is None or not (report.cold_ms and last.cold_ms):
         return True
-    later_ms = report.cold_ms + round((now - link.reported) * 1000) - last.cold_ms
+    later_ms = report.cold_ms + round((now - link.reported_at) * 1000) - last.cold_ms
     if later_ms > COLD_CHANGE_SECONDS * 1000:
         return True
     return msgspec.structs.replace(report, cold_ms=last.cold_ms) != last
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runlogs.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runlogs.py
@@ -74,6 +74,6 @@
 
 
 def start_rejected_log(run: Run, used: int) -> Log:
-    """Return the log line for a start that the runner rejected while `used` was thought in use."""
+    """Return the log line for a start that the runner rejected with `used` counted as in use."""
     fields: dict[str, str | int | float] = {"used": used, "run": run.id.number}
     return note("start_rejected", str(run.id.task), **fields)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnercontrol.py
@@ -22,12 +22,12 @@
     Supersede,
 )
 from paddleshunt_core.leased.progress import (
-    HUNG_RUNS,
+    MIN_HUNG_RUNS,
     is_faster_elsewhere,
     is_stalled,
     is_stuck,
-    note_done,
-    note_progress,
+    record_done,
+    record_progress,
 )
 from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
 from paddleshunt_core.leased.runlogs import (
@@ -42,7 +42,7 @@
 from paddleshunt_core.leased.runnerlosses import RunnerLosses
 from paddleshunt_core.leased.runtable import Phase, Run, RunTable
 from paddleshunt_core.leased.statuscheck import StatusCheck, contradicting_status_log
-from paddleshunt_core.leased.stopping import stop, stop_again
+from paddleshunt_core.leased.stopping import repeat_stop, stop
 from paddleshunt_core.leased.wire import (
     End,
     Health,
@@ -102,7 +102,7 @@
         self.leaving = False
         self._ends: list[tuple[Run, End]] = []
         self.losses = RunnerLosses()
-        self._last_seen = 0
+        self._last_end_number = 0
         self._lease = RunnerLease(times)
         self._foreign = ForeignRuns(times, self._lease)
         self._failed_polls = 0
@@ -110,12 +110,12 @@
         """Seconds that the last poll may have waited at the runner."""
 
     @property
-    def clean(self) -> bool:
+    def foreign_runs_ruled_out(self) -> bool:
         """Whether no foreign run can be running on this incarnation of the runner."""
-        return self._foreign.clean
+        return self._foreign.ruled_out
 
     def add(self, now: float, runs: list[Run]) -> list[Effect]:
-        """Start what fits, and return the rest at once, as other targets may have room."""
+        """Start the runs that fit; report the others as `NO_ROOM`, to be placed elsewhere."""
         effects: list[Effect] = []
         until = self._lease.next_end(now, self.table)
         for run in runs:
@@ -147,7 +147,7 @@
         return effects
 
     def runner_paused(self, seconds: float) -> None:
-        """Note that the runner may have been paused for so long, as its host was suspended."""
+        """Extend the runner's times, as it may have been paused while its host was suspended."""
         self._lease.clock_paused(seconds)
         self._foreign.clock_paused(seconds)
         for run in self.table:
@@ -161,7 +161,7 @@
     def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Adopt the status in a heartbeat, unless it is late or contradicts earlier ones."""
         if self.incarnations.classify(status) is HeartbeatClass.LATE:
-            self.incarnations.note_late(status)
+            self.incarnations.record_late(status)
             return [late_heartbeat_log(status, self.incarnations.current)]
         known = self.status
         if self._status_check.contradicts(known, status):
@@ -175,21 +175,21 @@
         elif known is not None:
             self.losses.heartbeat_received()
         self.status = status
-        self.incarnations.follow(status)
-        effects += self._note_cold(now, status)
+        self.incarnations.accept(status)
+        effects += self._record_cold(now, status)
         if known is not None and known.capacity != status.capacity:
             effects.append(runner_resized_log(status, known.capacity))
         if status.leaving and not (known and known.leaving):
             effects.append(note("runner_leaving", runner=str(status.runner)))
         return effects
 
-    def cold(self, now: float) -> float:
+    def cold_remaining(self, now: float) -> float:
         """Return the remaining seconds of the runner's warm-up."""
         return max(0.0, self._cold_until - now)
 
-    def _note_cold(self, now: float, status: RunnerStatus) -> list[Effect]:
+    def _record_cold(self, now: float, status: RunnerStatus) -> list[Effect]:
         """Record the remaining warm-up, which counts down until the next heartbeat."""
-        was_cold = self.cold(now) > 0
+        was_cold = self.cold_remaining(now) > 0
         self._cold_until = now + status.cold
         self.health.set_cold_remaining(now, status.cold)
         if not status.cold or was_cold:
@@ -204,7 +204,7 @@
             self.incarnations.mark_ended(incarnation)
             return []
         if self.status is not None:
-            # An announced end is no crash, so its runs are not blamed for it.
+            # An announced end is no crash, so it is no evidence against its runs.
             self.status = replace(self.status, leaving=True)
         if current.born and not incarnation.born:
             # This may be a late notice of an earlier incarnation: nothing is started until the next
@@ -221,16 +221,16 @@
         """
         self._waited = 0.0 if self._failed_polls else self._poll_wait()
         if self._failed_polls:
-            return Poll(self._last_seen, None, 0.0)
+            return Poll(self._last_end_number, None, 0.0)
         until = self._lease.next_end(now, self.table) if renew else now
         if until <= now:
-            return Poll(self._last_seen, None, self._waited)
+            return Poll(self._last_end_number, None, self._waited)
         self._lease.grant(until)
-        return Poll(self._last_seen, until, self._waited)
+        return Poll(self._last_end_number, until, self._waited)
 
     def _poll_wait(self) -> float:
         # The first heartbeat changes the incarnation that polls address; a long poll would be lost.
-        if not self.clean or self.status is None:
+        if not self.foreign_runs_ruled_out or self.status is None:
             return 0.0
         if any(run.unanswered_at is not None or run.phase is Phase.STOPPING for run in self.table):
             return 0.0
@@ -240,17 +240,19 @@
 
     def poll_answered(self, now: float, answer: PollAnswer) -> list[Effect]:
         """Handle the runner's lists of running and finished runs."""
-        effects = self._reached()
+        effects = self._record_answer()
         incarnation = self._sender_of(answer)
         if incarnation is not None and not self.incarnations.is_current(incarnation):
-            # The poll was meant for the last incarnation; the lists are read with the next poll.
-            return effects + self._runner_replaced(now, incarnation, answered=self.clean)
+            # The poll was addressed to the previous incarnation; the next one reads the lists.
+            return effects + self._runner_replaced(
+                now, incarnation, answered=self.foreign_runs_ruled_out
+            )
         if incarnation is not None:
             self.incarnations.confirm(incarnation)
         return effects + self._read_lists(now, answer)
 
-    def _reached(self) -> list[Effect]:
-        """Note that the runner answered a poll."""
+    def _record_answer(self) -> list[Effect]:
+        """Reset the failed polls; log if the runner was unreachable."""
         was_unreachable = self._failed_polls >= UNREACHABLE_POLLS
         self._failed_polls = 0
         return [note("runner_reachable")] if was_unreachable else []
@@ -263,7 +265,7 @@
     def _read_lists(self, now: float, answer: PollAnswer) -> list[Effect]:
         effects: list[Effect] = []
         self.losses.poll_answered()
-        self._last_seen = max(self._last_seen, answer.listed)
+        self._last_end_number = max(self._last_end_number, answer.listed)
         # This process may have been paused before it read the answer, which is then older.
         observed_at = min(now, answer.sent + self._waited)
         for finished in answer.finished:
@@ -273,7 +275,7 @@
         effects += self._stop_foreign()
         for run in self.table:
             if answer.unread_end:
-                run.note_unread_end()
+                run.record_unread_end()
             if run.is_orphaned:
                 effects += self._check_orphan(now, run, answer, listed=run.id in running)
             elif run.id in running:
@@ -295,8 +297,9 @@
     ) -> list[Effect]:
         """Handle a run that was ordered from the previous incarnation, as the order may come late.
 
-        Polls that the current incarnation answers carry a higher fencing token, so a run that it
-        doesn't list never starts there. Until then the task must not be placed elsewhere.
+        Polls that the current incarnation answers carry a higher fencing token, so a run that is
+        not listed in an answer never starts there. Until such an answer, its task must not be
+        placed elsewhere.
         """
         if listed:
             self._lease.extend_for_late_order(now)
@@ -306,12 +309,12 @@
             return [StopRun(run.id)]
         if answer.partial or not self._foreign.is_after_reset(answer):
             return []
-        return self._ended(run, End.LOST, "runner_replaced")
+        return self._end_run(run, End.LOST, "runner_replaced")
 
     def poll_failed(self, now: float, *, other_incarnation: bool = False) -> list[Effect]:
         """Handle a poll that got no answer, or was answered by another id (`other_incarnation`)."""
         if other_incarnation:
-            return self._runner_replaced(now, None, answered=self.clean)
+            return self._runner_replaced(now, None, answered=self.foreign_runs_ruled_out)
         effects: list[Effect] = []
         self.losses.poll_failed(now)
         self._failed_polls += 1
@@ -322,7 +325,7 @@
             effects.append(self.losses.report_lost(now, self.status, self.table))
             for run in self.table:
                 effects.append(run_lapsed_log(run, self._lease.seconds_past_end(now)))
-                effects += self._ended(run, End.LOST, "lease_lapsed")
+                effects += self._end_run(run, End.LOST, "lease_lapsed")
             # A late order may reach a new incarnation, whose clock starts anew.
             effects.append(Supersede())
         return effects
@@ -347,7 +350,7 @@
             case _:
                 pass
         end = End.STALE if answer is StartAnswer.STALE else End.NOT_STARTED
-        return self._ended(run, end, f"start_{answer.value}")
+        return self._end_run(run, end, f"start_{answer.value}")
 
     def stop_answered(self, now: float, id_: RunId, *, done: bool) -> list[Effect]:
         """Handle the outcome of an order to stop; an unanswered one is sent again."""
@@ -402,10 +405,14 @@
 
     def _may_start(self, now: float, until: float) -> bool:
         """Whether a run may start under a lease that ends at `until`."""
-        if not self.clean or self._foreign or self.state() is not RunnerState.READY:
+        if (
+            not self.foreign_runs_ruled_out
+            or self._foreign
+            or self.state() is not RunnerState.READY
+        ):
             return False
         if self._failed_polls:
-            # It may have crashed, and a run ordered now could be mistaken for the cause.
+            # The runner may have crashed, and a run ordered now could be mistaken for the cause.
             return False
         if not self._lease.is_enough(now, until):
             return False
@@ -415,7 +422,7 @@
 
     def _why_not_started(self) -> str:
         """Return why nothing may start here now, for the log."""
-        if not self.clean:
+        if not self.foreign_runs_ruled_out:
             return "runner_not_looked_at"
         if self._foreign:
             return "foreign_runs"
@@ -432,9 +439,9 @@
 
     def _no_room(self, run: Run) -> list[Effect]:
         if run.phase is not Phase.STARTING:
-            return self._ended(run, run.end_after_stop, "no_room")
+            return self._end_run(run, run.end_after_stop, "no_room")
         log = start_rejected_log(run, self.table.used.processor)
-        return [log, *self._ended(run, End.NO_ROOM, "rejected")]
+        return [log, *self._end_run(run, End.NO_ROOM, "rejected")]
 
     def cancel(self, now: float, run: Run, reason: str, since: float | None = None) -> list[Effect]:
         """Stop a run that has been unwanted `since` that time (default: now)."""
@@ -445,7 +452,7 @@
 
     def _check_run(self, now: float, run: Run) -> list[Effect]:
         if run.phase is Phase.STOPPING:
-            return [*stop_again(now, run)]
+            return [*repeat_stop(now, run)]
         if run.phase is Phase.RUNNING and now > run.expires:
             return [*stop(now, run, End.STOPPED, "expired")]
         return []
@@ -466,7 +473,7 @@
     def _stop_if_hung(self, now: float, observed_at: float) -> list[Effect]:
         """Stop all runs if none of them was making progress at `observed_at`."""
         runs = [run for run in self.table if run.phase is Phase.RUNNING]
-        if len(runs) < HUNG_RUNS or not all(
+        if len(runs) < MIN_HUNG_RUNS or not all(
             is_stalled(observed_at, run, self.health.overrun_factor(run.progressed_at))
             for run in runs
         ):
@@ -477,13 +484,13 @@
         ]
 
     def _run_finished(self, now: float, observed_at: float, finished: FinishedRun) -> list[Effect]:
-        self._last_seen = max(self._last_seen, finished.number)
+        self._last_end_number = max(self._last_end_number, finished.number)
         run = self.table.get(finished.run)
         if run is None:
             return []
         end = _ENDS[finished.end]
         if finished.end is RunEnd.DONE:
-            note_done(now, observed_at, run, self.health)
+            record_done(now, observed_at, run, self.health)
             duration = max(observed_at - run.ordered_at, MIN_DURATION)
             self.health.done(now, run.estimate / duration, run.ordered_at)
         elif finished.end is RunEnd.FAILED:
@@ -492,7 +499,7 @@
             end = run.end_after_stop if run.phase is Phase.STOPPING else End.STOPPED
             if end is End.NOT_STARTED:
                 end = End.STOPPED
-        return self._ended(run, end, finished.end.value)
+        return self._end_run(run, end, finished.end.value)
 
     def _start_unanswered(self, now: float, run: Run) -> list[Effect]:
         """Leave it to the next poll to show whether an unanswered start was executed."""
@@ -509,7 +516,7 @@
             run.mark_running(now)
         run.unanswered_at = None
         run.confirmed_at = now if run.phase is Phase.RUNNING else run.confirmed_at
-        note_progress(now, observed_at, run, percent, self.health)
+        record_progress(now, observed_at, run, percent, self.health)
         if run.phase is Phase.RUNNING and is_stuck(
             observed_at, run, self.health.overrun_factor(run.progressed_at)
         ):
@@ -520,11 +527,11 @@
     def _run_gone(self, run: Run) -> list[Effect]:
         """End a run that a later poll no longer lists."""
         if run.phase is Phase.STOPPING:
-            return self._ended(run, run.end_after_stop, "gone")
-        return self._ended(run, End.LOST, "gone")
+            return self._end_run(run, run.end_after_stop, "gone")
+        return self._end_run(run, End.LOST, "gone")
 
     def _stop_foreign(self) -> list[Effect]:
-        """Stop the runs that an earlier process has left; nothing starts until they are gone."""
+        """Stop the runs of an earlier process; nothing starts until they are gone."""
         effects: list[Effect] = []
         for id_ in self._foreign:
             effects.append(note("foreign_run_stopping", str(id_.task), run=id_.number))
@@ -537,8 +544,8 @@
         """End all runs of the current incarnation, which has ended.
 
         Orders that are still in flight may be executed by `successor`, the incarnation that is
-        known to answer in its place, if that has the same id. An ended incarnation that never
-        `answered` may still be the next one, waiting for the last one to drain.
+        known to answer in its place, if that has the same id. If the current incarnation never
+        `answered`, it may have registered early and start once its predecessor has drained.
         """
         ended = self.incarnations.current
         effects: list[Effect] = [
@@ -552,12 +559,12 @@
             if may_run_late:
                 run.orphan(now)
             else:
-                effects += self._ended(run, End.LOST, "runner_replaced")
+                effects += self._end_run(run, End.LOST, "runner_replaced")
         if may_run_late:
             self._lease.extend_for_late_order(now)
         self.health = RunnerHealth(self._cold_overrun)
         self._cold_until = float("-inf")
-        self._last_seen = 0
+        self._last_end_number = 0
         self.status = None
         self.incarnations.end_current(answered=answered)
         self._foreign.reset(now)
@@ -565,7 +572,7 @@
             self.incarnations.set_current(successor)
         return effects
 
-    def _ended(self, run: Run, end: End, reason: str) -> list[Effect]:
+    def _end_run(self, run: Run, end: End, reason: str) -> list[Effect]:
         self.table.drop(run)
         return [self._report_end(run, end, reason)]
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlease.py
@@ -37,7 +37,7 @@
         return end >= now + MIN_LEASE
 
     def grant(self, end: float) -> None:
-        """Note that an order grants the runner a lease until `end`."""
+        """Record that an order grants the runner a lease until `end`."""
         self._end = max(self._end, end)
 
     def extend_for_late_order(self, now: float) -> None:
@@ -47,7 +47,7 @@
     def clock_paused(self, seconds: float) -> None:
         """Extend the lease, as the runner's clock may have stopped while its host was suspended.
 
-        A lease that was granted since is not affected by it; to count it as longer is safe.
+        A lease granted since the suspension is not affected, but a later assumed end is safe.
         """
         self._end += seconds
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runnerlosses.py
@@ -49,30 +49,30 @@
         self._reported: LossId | None = None
         """The reported silence or loss of the current incarnation, if it may answer again."""
         self._unconfirmed: _UnconfirmedLoss | None = None
-        """Its loss, if it has given no sign since the report."""
-        self._news: list[LossUpdate] = []
+        """Its reported loss, if nothing was received from it since."""
+        self._updates: list[LossUpdate] = []
 
-    def take_news(self) -> list[LossUpdate]:
-        """Return the new reports of silences, losses and returns, and forget them."""
-        news = self._news
-        self._news = []
-        return news
+    def take_updates(self) -> list[LossUpdate]:
+        """Remove and return the new reports of silences, losses and returns."""
+        updates = self._updates
+        self._updates = []
+        return updates
 
     def poll_answered(self) -> None:
-        """Note that the current incarnation answered a poll."""
+        """Withdraw what was reported, as the current incarnation answered a poll."""
         self._silent_since = None
         self._unconfirmed = None
         self._withdraw()
 
     def heartbeat_received(self) -> None:
-        """Note a heartbeat of the current incarnation: it outlived the runs that it was lost with.
+        """Record that the current incarnation did not end with the runs of its reported loss.
 
-        It does not undo a reported loss, as it may have been delayed since before that.
+        Its heartbeat does not withdraw the loss, as it may have been sent before that.
         """
         self._unconfirmed = None
 
     def poll_failed(self, now: float) -> None:
-        """Note that a poll had no answer."""
+        """Record that a poll had no answer."""
         if self._silent_since is None:
             self._silent_since = now
 
@@ -80,53 +80,57 @@
         """Report that several consecutive polls failed while runs were running."""
         if status is not None and not status.leaving and _own_runs(table):
             self._reported = self._loss_id(now, status)
-            self._news.append(RunnerSilent(self._reported, *self._affected(now, table)))
+            self._updates.append(RunnerSilent(self._reported, *self._affected(now, table)))
 
     def report_lost(self, now: float, status: RunnerStatus | None, table: RunTable) -> Log:
         """Report the runner as lost: no poll was answered until its lease ended."""
-        return self._lose(now, status, table, SILENT)
+        return self._report_loss(now, status, table, SILENT)
 
     def report_replaced(
         self, now: float, status: RunnerStatus | None, table: RunTable
     ) -> list[Log]:
         """Report that the current incarnation has ended and another one answers."""
-        logs = [self._lose(now, status, table, REPLACED)] if _own_runs(table) else []
+        logs = [self._report_loss(now, status, table, REPLACED)] if _own_runs(table) else []
         if status is not None and status.leaving:
             # It announced its end meanwhile, so it is not lost.
             self._withdraw()
         elif self._unconfirmed is not None:
             # It was reported lost while silent; now it is known to have ended.
-            self._news.append(replace(self._unconfirmed.lost, ended=self._unconfirmed.started))
+            self._updates.append(replace(self._unconfirmed.lost, ended=self._unconfirmed.started))
         self._silent_since = None
         self._reported = None
         self._unconfirmed = None
         return logs
 
-    def _lose(self, now: float, status: RunnerStatus | None, table: RunTable, how: str) -> Log:
+    def _report_loss(
+        self, now: float, status: RunnerStatus | None, table: RunTable, how: str
+    ) -> Log:
         """Report the loss of the incarnation with its runs, unless it had announced its end."""
         if status is not None and not status.leaving:
-            self._report(now, status, table, ended=how == REPLACED)
+            self._queue_loss(now, status, table, ended=how == REPLACED)
         else:
             # It announced its end meanwhile, so it is not lost.
             self._withdraw()
         runner = str(status.runner) if status else ""
         return runner_lost_log(runner, how, self._silence_start(now), _own_runs(table))
 
-    def _report(self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool) -> None:
+    def _queue_loss(
+        self, now: float, status: RunnerStatus, table: RunTable, *, ended: bool
+    ) -> None:
         self._reported = self._loss_id(now, status)
         lost = RunnerLost(self._reported, *self._affected(now, table))
         started_tasks = {run.id.task for run in _own_runs(table) if run.has_started}
         started = [task for task in lost.tasks if task in started_tasks]
         if ended:
-            self._news.append(replace(lost, ended=started))
+            self._updates.append(replace(lost, ended=started))
             return
-        self._news.append(lost)
+        self._updates.append(lost)
         if lost.tasks or self._unconfirmed is None:
             self._unconfirmed = _UnconfirmedLoss(lost, started)
 
     def _withdraw(self) -> None:
         if self._reported is not None:
-            self._news.append(RunnerReturned(self._reported))
+            self._updates.append(RunnerReturned(self._reported))
             self._reported = None
 
     def _silence_start(self, now: float) -> float:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtable.py
@@ -61,15 +61,15 @@
     """Whether the incarnation it was ordered from has ended, and the next one may yet run it."""
 
     def orphan(self, now: float) -> None:
-        """Note that its runner's incarnation has ended; if the next one runs it, it must stop."""
+        """Mark the run as orphaned: if the next incarnation runs it, it must stop."""
         self.phase = Phase.STOPPING
         self.unwanted_since = self.confirmed_at = now
         self.unanswered_at = None
         self.end_after_stop = End.LOST
         self.is_orphaned = True
 
-    def note_unread_end(self) -> None:
-        """Note that an end was listed whose run could not be read."""
+    def record_unread_end(self) -> None:
+        """Record that an end was listed whose run could not be read."""
         self.may_have_ended = True
         if self.end_after_stop is End.NOT_STARTED:
             self.end_after_stop = End.LOST
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/session.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/session.py
@@ -34,35 +34,36 @@
         self.number = number
         self._opened_ms = opened_ms
         self.received = 0
+        """Number of the last body received from the peer."""
         self.acknowledged = 0
         """Number of the last own body that the peer has received."""
         self.confirmed_ms = opened_ms
         """The newest own stamp that the peer has echoed: the peer was alive then or later."""
         self.renewed_ms = opened_ms
-        """When the newest echoed stamp of the peer was received: bounds the peer's lease."""
+        """When the newest stamp echoed to the peer was received: bounds the peer's lease."""
         self._peer_stamp = 0
         self._stamp_received_ms: int | None = None
         """When the peer's newest stamp was received; None if it was not given."""
         self._echoed_stamp = 0
-        self._next = 1
+        self._next_number = 1
         self._unacknowledged: deque[tuple[int, Body]] = deque()
         self._unsent: deque[tuple[int, Body]] = deque()
 
     def send(self, body: Body) -> int:
         """Queue `body` for the next frame and return its number."""
-        number = self._next
-        self._next += 1
+        number = self._next_number
+        self._next_number += 1
         self._unsent.append((number, body))
         return number
 
     @property
     def pending(self) -> bool:
-        """Whether a frame is due before the next heartbeat."""
+        """Whether a frame is due before the next heartbeat, as bodies are queued."""
         return bool(self._unsent)
 
     def frame(self, now_ms: int) -> Frame:
         """Return the next frame, with the queued bodies, acknowledgement, stamp and echo."""
-        first = self._unsent[0][0] if self._unsent else self._next
+        first = self._unsent[0][0] if self._unsent else self._next_number
         bodies = [body for _, body in self._unsent]
         self._unacknowledged.extend(self._unsent)
         self._unsent.clear()
@@ -95,9 +96,9 @@
             self._stamp_received_ms = now_ms
         self.confirmed_ms = max(self.confirmed_ms, frame.echo_ms)
         self._record_acknowledgement(frame.received)
-        fresh = frame.bodies[skip:]
-        self.received += len(fresh)
-        return fresh
+        new_bodies = frame.bodies[skip:]
+        self.received += len(new_bodies)
+        return new_bodies
 
     def resume(self, received: int) -> None:
         """Resume over a new connection to a peer that has received bodies up to `received`."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/statuscheck.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/statuscheck.py
@@ -14,7 +14,7 @@
 
 @final
 class StatusCheck:
-    """Remembers the last contradicting status, if any."""
+    """Filter that ignores a contradicting status until it is received again."""
 
     def __init__(self) -> None:
         self._contradicting: RunnerStatus | None = None
@@ -25,13 +25,13 @@
         if (
             known is None
             or not known.runner.may_be_same(received.runner)
-            or _agree(known, received)
+            or _same_pool_and_labels(known, received)
         ):
             return False
         if (
             previous is not None
             and previous.runner == received.runner
-            and _agree(previous, received)
+            and _same_pool_and_labels(previous, received)
         ):
             return False
         self._contradicting = received
@@ -50,5 +50,5 @@
     )
 
 
-def _agree(one: RunnerStatus, other: RunnerStatus) -> bool:
+def _same_pool_and_labels(one: RunnerStatus, other: RunnerStatus) -> bool:
     return (one.service, one.hall, one.labels) == (other.service, other.hall, other.labels)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/stopping.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/stopping.py
@@ -31,8 +31,8 @@
     return [log, StopRun(run.id)]
 
 
-def stop_again(now: float, run: Run) -> list[StopRun | Log]:
-    """Repeat the order if the runner has not confirmed it within `STOP_RETRY`."""
+def repeat_stop(now: float, run: Run) -> list[StopRun | Log]:
+    """Repeat the order to stop if the runner has not confirmed it within `STOP_RETRY`."""
     if run.confirmed_at is not None or now <= run.ordered_at + STOP_RETRY:
         return []
     run.ordered_at = now
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -104,7 +104,7 @@
 
 @final
 class ResourceRequest(_Body, frozen=True, tag=9):
-    """Resources for the most urgent task waiting at an entry, which must start in `within_ms`.
+    """Request for the resources of an entry's most urgent task, to start in `within_ms`.
 
     It is valid until the entry assigns the target something, or declines an offer.
     """
@@ -212,7 +212,7 @@
 
 @final
 class LossId(msgspec.Struct, frozen=True, array_like=True):
-    """Id of a loss: the runner's incarnation and when it fell silent, by its target's steady clock.
+    """Id of a loss: the runner's incarnation and when it became silent, by its target's clock.
 
     `born` comes last, so that processes without the field can decode the rest.
     """
@@ -260,7 +260,7 @@
 
 @final
 class KindSpeed(msgspec.Struct, frozen=True, array_like=True):
-    """Slowness of a kind of host for a service's tasks, relative to a usual host, in thousandths.
+    """Slowness of a kind of host for a service's tasks, relative to a typical host, in thousandths.
 
     `ends` is the weight of the estimate: the completed tasks that the sender observed itself.
     """
@@ -289,7 +289,7 @@
 class RunnerSilent(_Body, frozen=True, tag=15):
     """An incarnation of a runner does not answer; its tasks may still be running.
 
-    It is an early hint at tasks that may have crashed the runner, and loses none of them.
+    It names early the tasks that may have crashed the runner; none counts as lost yet.
     `RunnerLost` or `RunnerReturned` follows with the same loss.
     """
 
@@ -327,7 +327,8 @@
 class Hello(msgspec.Struct, frozen=True, array_like=True):
     """First message of a connection, each way.
 
-    `incarnation` changes with each start of the process. In a target's message `session` is the
+    `entry`: whether the sender is an entry. `incarnation` changes with each start of the process.
+    In a target's message `session` is the
     session to resume, or 0 if it has none; in an entry's answer it is the session to use, or 0 if
     the named one can't be resumed. `received` is the number of the last body that the sender
     received in it.
@@ -347,7 +348,7 @@
     """Bodies numbered from `first`; `received` acknowledges the peer's bodies.
 
     `stamp_ms` is the sender's steady clock. `echo_ms` is the highest stamp received from the peer,
-    by which the peer can tell how old the sender's information about it is.
+    from which the peer computes how old the sender's information about it is.
     """
 
     first: int
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -84,7 +84,7 @@
     def echo_age(self, now: float) -> float | None:
         """Return the lower-quartile echo age of held sessions in seconds; None without any.
 
-        Other sessions are not renewed all the time.
+        Idle sessions are left out, as their leases are not renewed continuously.
         """
         held = (link.session for name, link in self._links.items() if self._is_held(name))
         return lower_quartile_echo_age(now, (session for session in held if session is not None))
@@ -99,7 +99,7 @@
             "health": control.health.level(now).name,
             "speed": round(control.health.speed(now), 2),
             "leaving": control.leaving,
-            "cold_s": round(control.cold(now), 2),
+            "cold_s": round(control.cold_remaining(now), 2),
             "state": control.state().name,
             "evacuated_halls": control.evacuations.known.halls,
             "evacuations_revision": control.evacuations.known.revision,
@@ -120,14 +120,14 @@
 
     def may_open(self, entry: str) -> bool:
         """Whether a new session with `entry` may begin: no run of an older one is left."""
-        return self._control.clean and not self._control.table.of_entry(entry)
+        return self._control.foreign_runs_ruled_out and not self._control.table.of_entry(entry)
 
     def session_names(self) -> set[str]:
         """Return the entries with an open session."""
         return {name for name, link in self._links.items() if link.session is not None}
 
     def held_names(self) -> set[str]:
-        """Return the entries whose session is held: they have runs, or some on their way."""
+        """Return the entries whose session is held (see `EntryLink`)."""
         return {name for name in self._links if self._is_held(name)}
 
     def session(self, entry: str) -> Session | None:
@@ -136,11 +136,11 @@
         return link.session if link else None
 
     def greeting_answered(self, now: float, hello: Hello, greeted_at: float) -> list[Effect]:
-        """Open or resume a session, as an entry has answered the greeting sent at `greeted_at`.
+        """Open or resume a session, as an entry has answered the Hello sent at `greeted_at`.
 
-        Nothing is opened if the session that the greeting named has ended since.
+        Nothing is opened if the session that this Hello named has ended since.
         """
-        self._collect(now)
+        self._queue_losses_and_ends(now)
         link = self._links.setdefault(hello.name, EntryLink())
         if link.has_ended(hello.incarnation, hello.session):
             return [note("session_over", entry=hello.name, session=hello.session)]
@@ -176,12 +176,12 @@
         if link is None or link.session is None or link.session.has_gap_before(frame):
             return []
         bodies = link.session.accept(frame)
-        if self._is_over(now, entry):
+        if self._has_expired(now, entry):
             return self._end_session(now, entry, "silent")
         link.last_received = now
         effects: list[Effect] = []
         for body in bodies:
-            effects += self._take(now, entry, body)
+            effects += self._handle_body(now, entry, body)
         return effects + self._start_pending(now, entry, link)
 
     def is_silent(self, now: float, entry: str) -> bool:
@@ -192,7 +192,7 @@
         return link.is_silent(now, self._times, held=self._is_held(entry))
 
     def probe(self) -> None:
-        """Send all entries a heartbeat as soon as permitted, as a connection has become silent."""
+        """Make heartbeats to all entries due at once, as a connection has become silent."""
         for link in self._links.values():
             link.probe()
 
@@ -225,7 +225,7 @@
         return self._control.incarnations.changes
 
     def incarnation_denied(self, incarnation: RunnerIncarnation) -> None:
-        """Note that the runner denied to be this incarnation, which has ended or is yet to come."""
+        """Record that the runner denied being this incarnation: it has ended or may start later."""
         self._control.incarnations.deny(incarnation)
 
     def heartbeat_received(self, now: float, status: RunnerStatus) -> list[Effect]:
@@ -271,10 +271,10 @@
         return self._control.stop_answered(now, id_, done=done)
 
     def suspended(self, seconds: float) -> list[Effect]:
-        """Note that the host, and so maybe the runner, was suspended for some seconds.
+        """Handle a suspension of the host, and maybe of the runner, for some seconds.
 
-        Deadlines of earlier decisions stay. But the runner's lease may not have run down meanwhile,
-        so its runs are not taken for killed any sooner, nor blamed for a lack of progress.
+        Deadlines of earlier decisions stay. The runner's lease may not have run down meanwhile, so
+        its end is assumed that much later, and the time doesn't count as lack of progress.
         """
         self._control.runner_paused(seconds)
         return [note("host_suspended", seconds=round(seconds, 3), runs=self.runs)]
@@ -283,7 +283,7 @@
         """End sessions whose lease has ended, start pending runs, and check the running ones."""
         effects = self._log_pause(now)
         for name, link in self._links.items():
-            if link.session is not None and self._is_over(now, name):
+            if link.session is not None and self._has_expired(now, name):
                 effects += self._end_session(now, name, "silent")
             effects += self._start_pending(now, name, link)
         return effects + self._control.tick(now)
@@ -298,20 +298,20 @@
         effects: list[Effect] = []
         for name, link in self._links.items():
             if link.session is None or name in preferred:
-                link.retired = None
-            elif link.retired is None:
-                link.retired = now
-            elif now > link.retired + RETIRE_GRACE and not self._has_work(name):
+                link.retiring_since = None
+            elif link.retiring_since is None:
+                link.retiring_since = now
+            elif now > link.retiring_since + RETIRE_GRACE and not self._has_work(name):
                 effects += self._end_session(now, name, "other_entries_preferred")
         return effects
 
     def prepare_frames(self, now: float) -> float | None:
-        """Put due ends and reports into the sessions; return when the next is due, if any is."""
-        self._collect(now)
+        """Queue due ends and reports in the sessions; return when the next is due, or None."""
+        self._queue_losses_and_ends(now)
         return self._reporter.prepare(now, self._links, network_overloaded=self.network_overloaded)
 
     def _log_pause(self, now: float) -> list[Effect]:
-        """Log a pause of this process, before which decisions may be outdated."""
+        """Log a pause of this process; decisions made before it may be outdated."""
         seconds = self._pauses.observe(now)
         return [note("stood_still", seconds=round(seconds, 2), runs=self.runs)] if seconds else []
 
@@ -323,7 +323,7 @@
         link = self._links[entry]
         return link.is_held(has_runs=self._control.table.has_entry(entry))
 
-    def _is_over(self, now: float, entry: str) -> bool:
+    def _has_expired(self, now: float, entry: str) -> bool:
         has_runs = self._control.table.has_entry(entry)
         return self._links[entry].has_expired(now, self._times, has_runs=has_runs)
 
@@ -335,8 +335,8 @@
     def _end_session(self, now: float, entry: str, reason: str) -> list[Effect]:
         link = self._links[entry]
         ended_at = now + min(0.0, self.session_lease_left(now, entry))
-        self._collect(now)
-        link.drop()
+        self._queue_losses_and_ends(now)
+        link.close()
         self._offers.drop(entry)
         effects: list[Effect] = []
         runs = self._control.table.of_entry(entry)
@@ -345,7 +345,7 @@
         fields: dict[str, str | int | float] = {"entry": entry, "reason": reason, "runs": len(runs)}
         return [note("session_ended", **fields), *effects]
 
-    def _take(self, now: float, entry: str, body: Body) -> list[Effect]:
+    def _handle_body(self, now: float, entry: str, body: Body) -> list[Effect]:
         match body:
             case Assign():
                 self._offers.drop(entry)
@@ -366,20 +366,20 @@
                 ]
         return []
 
-    def _update_evacuations(self, entry: str, news: EvacuationUpdate) -> list[Effect]:
+    def _update_evacuations(self, entry: str, update: EvacuationUpdate) -> list[Effect]:
         """Adopt an entry's list of evacuated halls, or send it a newer one."""
         evacuations = self._control.evacuations
-        if evacuations.supersedes(news.evacuated):
+        if evacuations.supersedes(update.evacuated):
             session = self.session(entry)
             if session is not None:
                 session.send(EvacuationUpdate(evacuations.known))
             return []
-        if not evacuations.learn(news.evacuated):
+        if not evacuations.learn(update.evacuated):
             return []
         return [evacuation_log(evacuations, entry)]
 
     def _assign(self, now: float, entry: str, body: Assign) -> None:
-        """Hold runs until the frame is handled and the session's lease is in force."""
+        """Add the assigned runs to the pending ones; return those that are too many as ended."""
         link = self._links[entry]
         link.report_due = True
         runs = [_run(now, entry, body, index, number) for index, number in body.runs]
@@ -387,7 +387,10 @@
         link.ends += [(run.id, End.NOT_STARTED) for run in excess]
 
     def _start_pending(self, now: float, entry: str, link: EntryLink) -> list[Effect]:
-        """Start pending runs if the session's lease is in force; return those that are too old."""
+        """Start pending runs if the session's lease is in force.
+
+        Those that can't start here or waited too long are reported as not started.
+        """
         if not link.pending:
             return []
         control = self._control
@@ -395,21 +398,21 @@
         accepts = control.state() is RunnerState.READY and control.level is not Health.SICK
         # A known run of the task is from an earlier attempt at the job and is being stopped.
         new = [run for run in runs if accepts and not control.table.has_task(run.id.task)]
-        returned = [run for run in runs if run not in new] + stale
-        link.ends += [(run.id, End.NOT_STARTED) for run in returned]
+        not_started = [run for run in runs if run not in new] + stale
+        link.ends += [(run.id, End.NOT_STARTED) for run in not_started]
         effects = control.add(now, new)
         if stale:
             fields: dict[str, str | int | float] = {"entry": entry, "runs": len(stale)}
             return [*effects, note("assignment_unconfirmed", **fields)]
         return effects
 
-    def _collect(self, now: float) -> None:
-        """Pass losses of the runner to all entries, then each entry the ends of its runs."""
-        for news in self._control.losses.take_news():
-            self._losses.apply(now, news)
-            for each in self._links.values():
-                if each.session is not None:
-                    each.session.send(news)
+    def _queue_losses_and_ends(self, now: float) -> None:
+        """Queue the runner's losses for all entries, and the ends of runs for the entry of each."""
+        for update in self._control.losses.take_updates():
+            self._losses.apply(now, update)
+            for other in self._links.values():
+                if other.session is not None:
+                    other.session.send(update)
         for run, end in self._control.take_ends():
             link = self._links.get(run.entry)
             if link is not None and link.session is not None:
--- a/testing/core/leased/test_foreignruns.py
+++ b/testing/core/leased/test_foreignruns.py
@@ -27,13 +27,13 @@
 def test_complete_list_without_any_rules_out_foreign_runs(foreign: ForeignRuns) -> None:
     foreign.reset(10.0)
     foreign.update(PollAnswer(10.1, [], []), {})
-    assert foreign.clean
+    assert foreign.ruled_out
 
 
 def test_list_from_before_the_reset_shows_nothing(foreign: ForeignRuns) -> None:
     foreign.reset(10.0)
     foreign.update(PollAnswer(9.9, [], []), {})
-    assert not foreign.clean
+    assert not foreign.ruled_out
 
 
 def test_listed_run_is_foreign_until_it_has_ended(foreign: ForeignRuns) -> None:
@@ -41,7 +41,7 @@
     assert list(foreign) == [RUN]
     foreign.update(PollAnswer(1.1, LISTED, [FinishedRun(1, RUN, RunEnd.STOPPED)]), {})
     assert not foreign
-    assert foreign.clean
+    assert foreign.ruled_out
 
 
 def test_run_ordered_by_this_process_is_not_foreign(foreign: ForeignRuns) -> None:
@@ -57,9 +57,9 @@
         foreign.reset(known_since)
     for sent in (1.0, 1.0 + MAX_FOREIGN_SECONDS):
         foreign.update(PollAnswer(sent, [], [], partial=True), {})
-        assert not foreign.clean
+        assert not foreign.ruled_out
     foreign.update(PollAnswer(1.01 + MAX_FOREIGN_SECONDS, [], [], partial=True), {})
-    assert foreign.clean
+    assert foreign.ruled_out
 
 
 def test_lease_granted_since_keeps_unreadable_rows_alive(
@@ -69,27 +69,27 @@
     late = 1.1 + MAX_FOREIGN_SECONDS
     lease.grant(late)
     foreign.update(PollAnswer(late, [], [], partial=True), {})
-    assert not foreign.clean
+    assert not foreign.ruled_out
     foreign.update(PollAnswer(late + TIMES.overrun + 0.01, [], [], partial=True), {})
-    assert foreign.clean
+    assert foreign.ruled_out
 
 
 def test_suspension_of_the_host_extends_the_time_for_unreadable_rows(foreign: ForeignRuns) -> None:
     foreign.reset(1.0)
     foreign.clock_paused(3.0)
     foreign.update(PollAnswer(2.0 + MAX_FOREIGN_SECONDS, [], [], partial=True), {})
-    assert not foreign.clean
+    assert not foreign.ruled_out
 
 
 def test_complete_list_after_a_suspension_rules_out_foreign_runs(foreign: ForeignRuns) -> None:
     foreign.reset(1.0)
     foreign.clock_paused(3.0)
     foreign.update(PollAnswer(1.1, [], []), {})
-    assert foreign.clean
+    assert foreign.ruled_out
 
 
 def test_listed_foreign_run_does_not_expire(foreign: ForeignRuns) -> None:
     foreign.reset(1.0)
     foreign.update(PollAnswer(5.0 + MAX_FOREIGN_SECONDS, LISTED, [], partial=True), {})
     assert foreign
-    assert not foreign.clean
+    assert not foreign.ruled_out
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -32,7 +32,7 @@
 ) -> None:
     incarnations = Incarnations()
     assert incarnations.classify(FIRST) is HeartbeatClass.NEW
-    incarnations.follow(FIRST)
+    incarnations.accept(FIRST)
     assert incarnations.classify(status) is expected
 
 
@@ -72,9 +72,9 @@
 @pytest.mark.parametrize("how", ["replaced", "left", "denied"])
 def test_ended_incarnation_is_never_accepted_again(how: str) -> None:
     incarnations = Incarnations()
-    incarnations.follow(FIRST)
+    incarnations.accept(FIRST)
     if how == "replaced":
-        incarnations.follow(NEXT)
+        incarnations.accept(NEXT)
     elif how == "left":
         incarnations.end_current()
     else:
@@ -85,7 +85,7 @@
 def test_denied_incarnation_is_late_until_the_current_one_has_ended() -> None:
     """It may register while the current one drains, whose end is detected by polls."""
     incarnations = Incarnations()
-    incarnations.follow(FIRST)
+    incarnations.accept(FIRST)
     incarnations.deny(NEXT.runner)
     assert incarnations.classify(replace(NEXT, sequence=2)) is HeartbeatClass.LATE
     incarnations.end_current()
--- a/testing/core/leased/test_lost_polls.py
+++ b/testing/core/leased/test_lost_polls.py
@@ -111,4 +111,4 @@
     if lost:
         control.poll_failed(5.0)
     control.runner_deregistered(5.1, RunnerIncarnation("i-1"))
-    assert isinstance(control.losses.take_news()[-1], RunnerReturned)
+    assert isinstance(control.losses.take_updates()[-1], RunnerReturned)
--- a/testing/core/leased/test_progress.py
+++ b/testing/core/leased/test_progress.py
@@ -10,7 +10,7 @@
     is_faster_elsewhere,
     is_stalled,
     is_stuck,
-    note_progress,
+    record_progress,
 )
 from paddleshunt_core.leased.resources import NO_RESOURCES
 from paddleshunt_core.leased.runtable import Run
@@ -26,7 +26,7 @@
 def watch(run: Run, *polls: tuple[float, int]) -> RunnerHealth:
     health = RunnerHealth()
     for at, percent in polls:
-        note_progress(at, at, run, percent, health)
+        record_progress(at, at, run, percent, health)
     return health
 
 
@@ -42,7 +42,7 @@
     for step in range(1, int(until / 0.045) + 1):
         worked = 0.045 * step
         for run in runs:
-            note_progress(
+            record_progress(
                 1.0 + worked, 1.0 + worked, run, int(100 * speed * worked / estimate), health
             )
         if health.is_slow(1.0 + worked):
--- a/testing/core/leased/test_reporting.py
+++ b/testing/core/leased/test_reporting.py
@@ -6,7 +6,7 @@
 
 import pytest
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.entrylink import REPORT_SECONDS
+from paddleshunt_core.leased.entrylink import MIN_REPORT_INTERVAL
 from paddleshunt_core.leased.offers import OFFER_SECONDS
 from paddleshunt_core.leased.orders import PollAnswer, RunnerStatus
 from paddleshunt_core.leased.resources import NO_RESOURCES, Resources
@@ -74,7 +74,7 @@
 def test_contended_resources_are_offered_to_the_most_urgent_entry_only(busy: int) -> None:
     """A third of the runner counts as plenty, but does not suffice for three waiting tasks."""
     target = Target(busy)
-    target.advance(REPORT_SECONDS / 10)
+    target.advance(MIN_REPORT_INTERVAL / 10)
     for within, entry in enumerate(ENTRIES, start=1):
         target.request(entry, TASK, 100 * within)
     target.send_reports()
--- a/testing/core/leased/test_runnerlosses.py
+++ b/testing/core/leased/test_runnerlosses.py
@@ -46,14 +46,14 @@
     losses: RunnerLosses, table: RunTable
 ) -> None:
     losses.report_silent(5.1, STATUS, table)
-    assert losses.take_news() == [RunnerSilent(LOSS, TASKS, ["short", "long"], [100, 800])]
-    assert losses.take_news() == []
+    assert losses.take_updates() == [RunnerSilent(LOSS, TASKS, ["short", "long"], [100, 800])]
+    assert losses.take_updates() == []
 
 
 def test_loss_after_a_silence_has_the_same_id(losses: RunnerLosses, table: RunTable) -> None:
     losses.report_silent(5.1, STATUS, table)
     losses.report_lost(5.8, STATUS, table)
-    assert losses.take_news()[1] == RunnerLost(LOSS, TASKS, ["short", "long"], [100, 800])
+    assert losses.take_updates()[1] == RunnerLost(LOSS, TASKS, ["short", "long"], [100, 800])
 
 
 @pytest.mark.parametrize("lost", [[], [5.8]], ids=["silent", "lost"])
@@ -64,9 +64,9 @@
     for at in lost:
         losses.report_lost(at, STATUS, table)
     losses.poll_answered()
-    assert losses.take_news()[-1] == RunnerReturned(LOSS)
+    assert losses.take_updates()[-1] == RunnerReturned(LOSS)
     losses.poll_answered()
-    assert losses.take_news() == []
+    assert losses.take_updates() == []
 
 
 def test_silence_of_a_leaving_or_idle_runner_is_not_reported(
@@ -75,14 +75,14 @@
     losses.report_silent(5.1, LEAVING, table)
     losses.report_silent(5.1, None, table)
     losses.report_silent(5.1, STATUS, RunTable())
-    assert losses.take_news() == []
+    assert losses.take_updates() == []
 
 
 def test_replaced_runner_does_not_return(losses: RunnerLosses, table: RunTable) -> None:
     losses.report_silent(5.1, STATUS, table)
     losses.report_replaced(5.4, STATUS, table)
     losses.poll_answered()
-    kinds = [type(news) for news in losses.take_news()]
+    kinds = [type(news) for news in losses.take_updates()]
     assert kinds == [RunnerSilent, RunnerLost]
 
 
@@ -94,7 +94,7 @@
     table.add(late)
     losses.report_silent(5.1, STATUS, table)
     losses.report_lost(5.8, STATUS, table)
-    sent = losses.take_news()
+    sent = losses.take_updates()
     assert [news.tasks for news in sent if not isinstance(news, RunnerReturned)] == [
         TASKS,
         TASKS,
@@ -104,12 +104,12 @@
 def test_runner_that_announces_its_end_is_not_lost(losses: RunnerLosses, table: RunTable) -> None:
     losses.report_silent(5.1, STATUS, table)
     losses.report_lost(5.8, LEAVING, table)
-    assert losses.take_news()[1:] == [RunnerReturned(LOSS)]
+    assert losses.take_updates()[1:] == [RunnerReturned(LOSS)]
 
 
 def ended(losses: RunnerLosses) -> list[list[TaskId]]:
     """Take the reports; return the tasks that each reported loss ended with."""
-    return [news.ended for news in losses.take_news() if isinstance(news, RunnerLost)]
+    return [news.ended for news in losses.take_updates() if isinstance(news, RunnerLost)]
 
 
 @pytest.fixture
@@ -142,7 +142,7 @@
     losses.report_lost(5.8, STATUS, partly_running)
     losses.report_replaced(8.4, STATUS, RunTable())
     lost = RunnerLost(LOSS, TASKS, ["short", "long"], [100, 800])
-    assert losses.take_news() == [lost, replace(lost, ended=[TASKS[0]])]
+    assert losses.take_updates() == [lost, replace(lost, ended=[TASKS[0]])]
 
 
 def test_second_loss_in_one_silence_keeps_the_tasks_of_the_first(
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -3,7 +3,7 @@
 import pytest
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.entrylink import REPORT_SECONDS
+from paddleshunt_core.leased.entrylink import MIN_REPORT_INTERVAL
 from paddleshunt_core.leased.offers import OFFER_SECONDS
 from paddleshunt_core.leased.orders import (
     FinishedRun,
@@ -139,7 +139,7 @@
     little = worker.prepare_frames(1.02)
     assert (ample, little) == (
         1.0 + times.heartbeat,
-        1.0 + REPORT_SECONDS,
+        1.0 + MIN_REPORT_INTERVAL,
     )
 
 
