--- a/testing/core/leased/test_idle_sessions.py
+++ b/testing/core/leased/test_idle_sessions.py
@@ -57,7 +57,7 @@
         self.resend = Bounds().resend
         self.jobs = 0
         self.waiting: dict[int, tuple[str, str, int]] = {}
-        """By waiting caller: the key of its job, its entry and the entry's process start."""
+        """By waiting caller: the key of its job, its entry and the entry's incarnation."""
         self.resubmissions: list[tuple[float, str]] = []
         self.undos: list[tuple[float, Callable[[], None]]] = []
         self.fleet.settle()
@@ -276,9 +276,9 @@
         skip = self.received + 1 - frame.first
         if skip < 0:
             return []
-        fresh = frame.bodies[skip:]
-        self.received += len(fresh)
-        return fresh
+        new_bodies = frame.bodies[skip:]
+        self.received += len(new_bodies)
+        return new_bodies
 
     patch.setattr(Session, "accept", accept)
     patch.setattr(Session, "has_gap_before", lambda self, frame: False)
--- a/testing/core/leased/test_incarnations.py
+++ b/testing/core/leased/test_incarnations.py
@@ -11,8 +11,8 @@
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 from paddleshunt_core.leased.wire import RunnerState
 
-ROOM = Resources(8000, 8000)
-FIRST = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", ROOM, False, None, sequence=5)
+CAPACITY = Resources(8000, 8000)
+FIRST = RunnerStatus(RunnerIncarnation("i-1"), "svc", "hall", CAPACITY, False, None, sequence=5)
 NEXT = replace(FIRST, runner=RunnerIncarnation("i-2"), sequence=1)
 
 
@@ -38,19 +38,19 @@
 
 def accepted_sequences(*sequences: int) -> list[int]:
     """Return the sequence numbers that are accepted after heartbeat 5."""
-    found = RunnerControl(lease_times(Bounds()))
-    found.heartbeat_received(1.0, FIRST)
-    followed: list[int] = []
+    control = RunnerControl(lease_times(Bounds()))
+    control.heartbeat_received(1.0, FIRST)
+    accepted: list[int] = []
     for at, sequence in enumerate(sequences):
         status = replace(FIRST, sequence=sequence)
-        found.heartbeat_received(2.0 + at, status)
-        if found.status is status:
-            followed.append(sequence)
-    return followed
+        control.heartbeat_received(2.0 + at, status)
+        if control.status is status:
+            accepted.append(sequence)
+    return accepted
 
 
 @pytest.mark.parametrize(
-    ("sequences", "followed"),
+    ("sequences", "accepted"),
     [
         ([2**53, 6, 7], [6, 7]),
         ([2**53, 6, 2**53, 7], [6, 7]),
@@ -64,18 +64,18 @@
     ids=["one", "two", "same", "goes-on", "goes-back", "wide-steps", "near", "late-between"],
 )
 def test_sequence_far_ahead_is_accepted_once_the_next_continues_from_it(
-    sequences: list[int], followed: list[int]
+    sequences: list[int], accepted: list[int]
 ) -> None:
-    assert accepted_sequences(*sequences) == followed
+    assert accepted_sequences(*sequences) == accepted
 
 
-@pytest.mark.parametrize("how", ["replaced", "left", "denied"])
-def test_ended_incarnation_is_never_accepted_again(how: str) -> None:
+@pytest.mark.parametrize("ended_by", ["replaced", "deregistered", "denied"])
+def test_ended_incarnation_is_never_accepted_again(ended_by: str) -> None:
     incarnations = Incarnations()
     incarnations.accept(FIRST)
-    if how == "replaced":
+    if ended_by == "replaced":
         incarnations.accept(NEXT)
-    elif how == "left":
+    elif ended_by == "deregistered":
         incarnations.end_current()
     else:
         incarnations.mark_ended(FIRST.runner)
@@ -102,20 +102,20 @@
     *, answered: bool, expected: HeartbeatClass
 ) -> None:
     """It registered before it had its address, so the poll reached the previous incarnation."""
-    found = RunnerControl(lease_times(Bounds()))
-    found.heartbeat_received(1.0, FIRST)
+    control = RunnerControl(lease_times(Bounds()))
+    control.heartbeat_received(1.0, FIRST)
     if answered:
-        found.poll_answered(1.1, PollAnswer(1.05, [], []))
-    found.poll_failed(1.2, other_incarnation=True)
-    assert found.incarnations.classify(replace(FIRST, sequence=6)) is expected
+        control.poll_answered(1.1, PollAnswer(1.05, [], []))
+    control.poll_failed(1.2, other_incarnation=True)
+    assert control.incarnations.classify(replace(FIRST, sequence=6)) is expected
 
 
-def control() -> RunnerControl:
+def control_of_second_incarnation() -> RunnerControl:
     """Return the control of a runner in its second incarnation."""
-    found = RunnerControl(lease_times(Bounds()))
-    found.heartbeat_received(1.0, FIRST)
-    found.heartbeat_received(2.0, NEXT)
-    return found
+    control = RunnerControl(lease_times(Bounds()))
+    control.heartbeat_received(1.0, FIRST)
+    control.heartbeat_received(2.0, NEXT)
+    return control
 
 
 @pytest.mark.parametrize(
@@ -134,110 +134,119 @@
     ],
 )
 def test_late_heartbeat_changes_nothing(late: RunnerStatus) -> None:
-    found = control()
-    found.heartbeat_received(3.0, late)
-    assert found.status == NEXT
-    assert found.state() is RunnerState.READY
+    control = control_of_second_incarnation()
+    control.heartbeat_received(3.0, late)
+    assert control.status == NEXT
+    assert control.state() is RunnerState.READY
 
 
 def test_late_deregistration_of_an_earlier_incarnation_changes_nothing() -> None:
-    found = control()
-    assert found.runner_deregistered(3.0, FIRST.runner) == []
-    assert found.status == NEXT
+    control = control_of_second_incarnation()
+    assert control.runner_deregistered(3.0, FIRST.runner) == []
+    assert control.status == NEXT
 
 
-def born(start: int, sequence: int = 1) -> RunnerStatus:
+def status_born_at(start: int, sequence: int = 1) -> RunnerStatus:
     """Return a status with the id of `FIRST` and this start time."""
     return replace(FIRST, runner=RunnerIncarnation(FIRST.runner.id, start), sequence=sequence)
 
 
-def known(start: int) -> RunnerControl:
+def control_of_known_runner(start: int) -> RunnerControl:
     """Return the control of a runner that has sent heartbeat 9 and answered a poll."""
-    found = RunnerControl(lease_times(Bounds()))
-    found.heartbeat_received(1.0, born(start, 9))
-    found.poll_answered(1.1, PollAnswer(1.05, [], [], born=start))
-    return found
+    control = RunnerControl(lease_times(Bounds()))
+    control.heartbeat_received(1.0, status_born_at(start, 9))
+    control.poll_answered(1.1, PollAnswer(1.05, [], [], born=start))
+    return control
 
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
 def test_other_incarnation_with_the_same_id_is_unconfirmed(start: int) -> None:
-    assert known(5000).incarnations.classify(born(start)) is HeartbeatClass.UNCONFIRMED
+    assert (
+        control_of_known_runner(5000).incarnations.classify(status_born_at(start))
+        is HeartbeatClass.UNCONFIRMED
+    )
 
 
 def test_heartbeat_without_a_start_time_is_matched_by_its_id() -> None:
-    assert known(5000).incarnations.classify(replace(FIRST, sequence=9)) is HeartbeatClass.LATE
-    assert known(5000).incarnations.classify(replace(FIRST, sequence=10)) is HeartbeatClass.CURRENT
+    assert (
+        control_of_known_runner(5000).incarnations.classify(replace(FIRST, sequence=9))
+        is HeartbeatClass.LATE
+    )
+    assert (
+        control_of_known_runner(5000).incarnations.classify(replace(FIRST, sequence=10))
+        is HeartbeatClass.CURRENT
+    )
 
 
 @pytest.mark.parametrize("start", [6000, 4000], ids=["later", "clock_set_back"])
 def test_poll_answer_decides_which_incarnation_of_an_id_is_current(start: int) -> None:
-    found = known(5000)
-    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=start))
-    assert found.incarnations.current == RunnerIncarnation("i-1", start)
-    assert found.status is None
-    assert found.state() is RunnerState.DOWN
-    assert found.incarnations.classify(born(5000, 10)) is HeartbeatClass.LATE
-    assert found.incarnations.classify(born(7000)) is HeartbeatClass.UNCONFIRMED
-    found.heartbeat_received(2.2, born(start))
-    assert found.state() is RunnerState.READY
+    control = control_of_known_runner(5000)
+    control.poll_answered(2.1, PollAnswer(2.0, [], [], born=start))
+    assert control.incarnations.current == RunnerIncarnation("i-1", start)
+    assert control.status is None
+    assert control.state() is RunnerState.DOWN
+    assert control.incarnations.classify(status_born_at(5000, 10)) is HeartbeatClass.LATE
+    assert control.incarnations.classify(status_born_at(7000)) is HeartbeatClass.UNCONFIRMED
+    control.heartbeat_received(2.2, status_born_at(start))
+    assert control.state() is RunnerState.READY
 
 
 def test_ends_are_acknowledged_anew_in_each_incarnation() -> None:
-    found = known(5000)
-    found.poll_answered(1.3, PollAnswer(1.2, [], [], listed=57, born=5000))
-    assert found.next_poll(1.4, renew=False).last_seen == 57
-    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
-    assert found.next_poll(2.2, renew=False).last_seen == 0
+    control = control_of_known_runner(5000)
+    control.poll_answered(1.3, PollAnswer(1.2, [], [], listed=57, born=5000))
+    assert control.next_poll(1.4, renew=False).last_seen == 57
+    control.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
+    assert control.next_poll(2.2, renew=False).last_seen == 0
 
 
 def test_incarnation_known_before_the_one_that_answers_may_start_later() -> None:
     """Its heartbeat may arrive before the previous incarnation's answer to a poll is read."""
-    found = RunnerControl(lease_times(Bounds()))
-    found.heartbeat_received(1.0, born(6000))
-    found.poll_answered(1.1, PollAnswer(1.05, [], [], born=5000))
-    assert found.incarnations.current == RunnerIncarnation("i-1", 5000)
-    assert found.incarnations.classify(born(6000, 2)) is HeartbeatClass.UNCONFIRMED
+    control = RunnerControl(lease_times(Bounds()))
+    control.heartbeat_received(1.0, status_born_at(6000))
+    control.poll_answered(1.1, PollAnswer(1.05, [], [], born=5000))
+    assert control.incarnations.current == RunnerIncarnation("i-1", 5000)
+    assert control.incarnations.classify(status_born_at(6000, 2)) is HeartbeatClass.UNCONFIRMED
 
 
 def test_deregistered_id_is_accepted_again_with_its_next_incarnation() -> None:
-    found = known(5000)
-    found.runner_deregistered(2.0, RunnerIncarnation("i-1", 5000))
-    assert found.incarnations.classify(born(5000, 10)) is HeartbeatClass.LATE
-    assert found.incarnations.classify(born(6000)) is HeartbeatClass.NEW
+    control = control_of_known_runner(5000)
+    control.runner_deregistered(2.0, RunnerIncarnation("i-1", 5000))
+    assert control.incarnations.classify(status_born_at(5000, 10)) is HeartbeatClass.LATE
+    assert control.incarnations.classify(status_born_at(6000)) is HeartbeatClass.NEW
 
 
 def test_deregistration_without_a_start_time_holds_until_the_next_heartbeat() -> None:
     """It may be a late one of an earlier incarnation with the id, so runs must continue."""
-    found = known(5000)
-    found.runner_deregistered(2.0, RunnerIncarnation("i-1"))
-    assert found.incarnations.current == RunnerIncarnation("i-1", 5000)
-    assert found.state() is RunnerState.LEAVING
-    found.heartbeat_received(2.5, born(5000, 10))
-    assert found.state() is RunnerState.READY
+    control = control_of_known_runner(5000)
+    control.runner_deregistered(2.0, RunnerIncarnation("i-1"))
+    assert control.incarnations.current == RunnerIncarnation("i-1", 5000)
+    assert control.state() is RunnerState.LEAVING
+    control.heartbeat_received(2.5, status_born_at(5000, 10))
+    assert control.state() is RunnerState.READY
 
 
 def test_incarnation_with_a_start_time_may_replace_one_without() -> None:
     """A newer version of the runner may send it."""
-    found = RunnerControl(lease_times(Bounds()))
-    found.heartbeat_received(1.0, FIRST)
-    found.poll_answered(1.1, PollAnswer(1.05, [], []))
-    assert found.incarnations.classify(born(6000)) is HeartbeatClass.UNCONFIRMED
-    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
-    assert found.incarnations.current == RunnerIncarnation("i-1", 6000)
-    assert found.incarnations.classify(born(6000)) is HeartbeatClass.CURRENT
+    control = RunnerControl(lease_times(Bounds()))
+    control.heartbeat_received(1.0, FIRST)
+    control.poll_answered(1.1, PollAnswer(1.05, [], []))
+    assert control.incarnations.classify(status_born_at(6000)) is HeartbeatClass.UNCONFIRMED
+    control.poll_answered(2.1, PollAnswer(2.0, [], [], born=6000))
+    assert control.incarnations.current == RunnerIncarnation("i-1", 6000)
+    assert control.incarnations.classify(status_born_at(6000)) is HeartbeatClass.CURRENT
 
 
 @pytest.mark.parametrize("before", [[], [NEXT]], ids=["first_incarnation", "next_incarnation"])
 def test_poll_answers_may_have_a_start_time_that_heartbeats_lack(
     before: list[RunnerStatus],
 ) -> None:
-    found = RunnerControl(lease_times(Bounds()))
+    control = RunnerControl(lease_times(Bounds()))
     for status in (*before, FIRST):
-        found.heartbeat_received(1.0, status)
-    found.poll_answered(1.1, PollAnswer(1.05, [], [], born=6000))
-    assert found.status == FIRST
-    found.heartbeat_received(1.2, replace(FIRST, sequence=6))
-    assert found.incarnations.current == RunnerIncarnation("i-1", 6000)
-    assert found.state() is RunnerState.READY
-    found.poll_answered(2.1, PollAnswer(2.0, [], [], born=5000))
-    assert found.state() is RunnerState.DOWN
+        control.heartbeat_received(1.0, status)
+    control.poll_answered(1.1, PollAnswer(1.05, [], [], born=6000))
+    assert control.status == FIRST
+    control.heartbeat_received(1.2, replace(FIRST, sequence=6))
+    assert control.incarnations.current == RunnerIncarnation("i-1", 6000)
+    assert control.state() is RunnerState.READY
+    control.poll_answered(2.1, PollAnswer(2.0, [], [], born=5000))
+    assert control.state() is RunnerState.DOWN
--- a/testing/core/leased/test_release.py
+++ b/testing/core/leased/test_release.py
@@ -64,8 +64,8 @@
         worker = self.fleet.workers[name]
         self.fleet._act_target(name, worker.runner_deregistered(self.fleet.now, incarnation))
 
-    def end(self) -> None:
-        """Let all jobs end."""
+    def finish_jobs(self) -> None:
+        """Run until all jobs have ended."""
         for _ in range(round(5.0 / STEP)):
             self.fleet.step()
 
@@ -73,7 +73,7 @@
         return sum(self.fleet.runners[name].starts.values()) if name else 0
 
 
-def at_other_hosts(release: Release) -> None:
+def replace_on_other_hosts(release: Release) -> None:
     for old, new in zip(release.old, release.new, strict=True):
         release.start(new)
         release.run(0.5)
@@ -81,7 +81,7 @@
         release.stop(old)
 
 
-def at_the_same_hosts(release: Release) -> None:
+def replace_on_same_hosts(release: Release) -> None:
     for name in release.old:
         release.drain(name)
         release.fleet.runners[name].crash()
@@ -108,19 +108,19 @@
     [no_partition, partition("t2"), partition("t0"), partition("t3")],
     ids=["no-partition", "other-host", "draining-host", "new-host"],
 )
-@pytest.mark.parametrize("way", [at_other_hosts, at_the_same_hosts])
+@pytest.mark.parametrize("replace_runners", [replace_on_other_hosts, replace_on_same_hosts])
 def test_rolling_release_loses_no_job_and_starts_nothing_on_a_draining_runner(
-    way: Callable[[Release], None], cut: Callable[[Fleet], None]
+    replace_runners: Callable[[Release], None], cut: Callable[[Fleet], None]
 ) -> None:
     release = Release(3)
     fleet = release.fleet
     release.run(0.7)
     cut(fleet)
     release.run(0.3)
-    way(release)
+    replace_runners(release)
     fleet.heal()
     release.run(0.5)
-    release.end()
+    release.finish_jobs()
     outcomes = [fleet.answers.get(caller) for caller in release.callers]
     lost = [outcome for outcome in outcomes if outcome != Completed()]
     assert lost == []
@@ -130,7 +130,7 @@
 def test_runs_on_a_draining_runner_end_there() -> None:
     release = Release(2)
     release.run(0.5)
-    at_other_hosts(release)
-    release.end()
+    replace_on_other_hosts(release)
+    release.finish_jobs()
     starts = sum(sum(runner.starts.values()) for runner in release.fleet.runners.values())
     assert starts == 2 * len(release.callers)
--- a/testing/core/leased/test_returning.py
+++ b/testing/core/leased/test_returning.py
@@ -1,7 +1,7 @@
 """Tests that a late order to a restarted runner with the same id doesn't run a task twice.
 
-An unanswered order may be executed by the next incarnation, so the run stays the target's until
-that has answered a call with a higher token: what it doesn't list by then never starts.
+The next incarnation may execute an unanswered order. So the target keeps the run until that
+incarnation has answered a poll with a higher fencing token; a run not listed then never starts.
 """
 
 from itertools import product
@@ -22,12 +22,14 @@
 """Maximum seconds that the platform specifies for a stop."""
 
 
-def play(late: float, downtime: float, *, becomes_silent: bool = False) -> str:
+def restart_before_late_orders(
+    order_delay: float, downtime: float, *, becomes_silent: bool = False
+) -> str:
     """Let a runner restart before it executes an order; return a violation, if any."""
     fleet = Fleet(entries=1, targets=2)
     fleet.settle()
     runner = fleet.runners["t0"]
-    runner.late = late
+    runner.late = order_delay
     runner.stop_seconds = STOP_DURATION
     caller = fleet.submit("e0", "job", count=4, length=3.0 if becomes_silent else 0.5)
     while len(fleet._late_orders) < 2:
@@ -41,27 +43,30 @@
             fleet.step()
         runner.mute = becomes_silent
         fleet.run(4.0)
-    except AssertionError as broken:
-        return f"late {late:.2f} downtime {downtime:.2f}: {broken}"
+    except AssertionError as violation:
+        return f"order delay {order_delay:.2f} s, downtime {downtime:.2f} s: {violation}"
     return "" if caller in fleet.answers else "no answer"
 
 
 def test_late_order_to_the_previous_incarnation_starts_no_task_twice() -> None:
-    broken = [play(late, downtime) for late, downtime in product(ORDER_DELAYS, DOWNTIMES)]
-    assert [each for each in broken if each] == []
+    violations = [
+        restart_before_late_orders(delay, downtime)
+        for delay, downtime in product(ORDER_DELAYS, DOWNTIMES)
+    ]
+    assert [violation for violation in violations if violation] == []
 
 
 def test_late_order_starts_no_task_twice_if_the_next_incarnation_becomes_silent() -> None:
     """It may keep a run for the longest lease, as the order's lease was for another clock."""
-    broken = [
-        play(late, downtime, becomes_silent=True)
-        for late, downtime in product(ORDER_DELAYS, DOWNTIMES)
+    violations = [
+        restart_before_late_orders(delay, downtime, becomes_silent=True)
+        for delay, downtime in product(ORDER_DELAYS, DOWNTIMES)
     ]
-    assert [each for each in broken if each] == []
+    assert [violation for violation in violations if violation] == []
 
 
-def test_late_order_for_a_lost_run_is_refused_once_the_next_incarnation_is_called() -> None:
-    """Its task runs elsewhere by then; an order before any call can't be recognised as late."""
+def test_late_order_for_a_lost_run_is_refused_once_the_next_incarnation_is_polled() -> None:
+    """Its task runs elsewhere by then; an order before any poll can't be recognised as late."""
     fleet = Fleet(entries=1, targets=2)
     fleet.settle()
     runner = fleet.runners["t0"]
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -20,12 +20,12 @@
 )
 
 TIMES = lease_times(Bounds())
-ROOM = Resources(8000, 8000, 0)
+CAPACITY = Resources(8000, 8000, 0)
 
 
 def target(name: str) -> TargetRecord:
     record = TargetRecord(name, "hall", "1")
-    record.report = RunnerReport("svc", name, RunnerState.READY, Health.GOOD, ROOM, ROOM)
+    record.report = RunnerReport("svc", name, RunnerState.READY, Health.GOOD, CAPACITY, CAPACITY)
     return record
 
 
@@ -46,13 +46,13 @@
         queues = [queue for queue, _ in work.values()]
         worked = [ms for _, ms in work.values()]
         self.since[runner] = round(at * 1000)
-        news = RunnerSilent(LossId(runner, self.since[runner]), tasks, queues, worked)
-        return self.containment.learn(at, news, lambda: self.targets)[1]
+        update = RunnerSilent(LossId(runner, self.since[runner]), tasks, queues, worked)
+        return self.containment.learn(at, update, lambda: self.targets)[1]
 
     def returned(self, at: float, runner: str) -> list[Log]:
         """Report that a runner answers again."""
-        news = RunnerReturned(LossId(runner, self.since[runner]))
-        return self.containment.learn(at, news, lambda: self.targets)[1]
+        update = RunnerReturned(LossId(runner, self.since[runner]))
+        return self.containment.learn(at, update, lambda: self.targets)[1]
 
     def advance(self, at: float) -> list[Log]:
         """Advance the containment to a time."""
--- a/testing/core/leased/test_soak.py
+++ b/testing/core/leased/test_soak.py
@@ -17,10 +17,10 @@
 from paddleshunt_core.leased.wire import TaskId
 
 SEEDS = int(os.environ.get("PADDLESHUNT_SOAK", "3"))
-SECONDS = 12.0
-JOBS_A_SECOND = 8
+SOAK_SECONDS = 12.0
+JOBS_PER_SECOND = 8
 STOP_SECONDS = 0.05
-"""Seconds that a runner's stop takes where runners return under their ids."""
+"""Seconds that a runner's stop takes if restarted runners keep their ids."""
 
 FAULT_SECONDS = 0.7
 """Mean seconds between two faults."""
@@ -31,11 +31,11 @@
 class Soak:
     """A fleet with its callers and faults."""
 
-    def __init__(self, seed: int, bounds: Bounds, *, returns: bool = False) -> None:
+    def __init__(self, seed: int, bounds: Bounds, *, keep_ids: bool = False) -> None:
         self.rng = Random(seed)
         self.resend = bounds.resend
         self.fleet = Fleet(entries=4, targets=6, bounds=bounds)
-        if returns:
+        if keep_ids:
             self.fleet.lives = Random(f"lives {seed}")
             self.fleet.runners["t5"].born = 0
             for runner in self.fleet.runners.values():
@@ -51,13 +51,13 @@
 
     def run(self) -> None:
         self.fleet.settle()
-        end = self.fleet.now + SECONDS
+        end = self.fleet.now + SOAK_SECONDS
         next_fault = self.fleet.now
         while self.fleet.now < end:
             if self.fleet.now >= next_fault:
                 next_fault += self.rng.expovariate(1 / FAULT_SECONDS)
                 self.inject_fault()
-            if self.rng.random() < JOBS_A_SECOND * 0.05:
+            if self.rng.random() < JOBS_PER_SECOND * 0.05:
                 self.submit(f"job{self.keys}")
                 self.keys += 1
             self.fleet.run(0.05)
@@ -119,17 +119,17 @@
         for undo in due:
             undo()
 
-    def node(self) -> str:
+    def random_node(self) -> str:
         return self.rng.choice([*self.fleet.entries, *self.fleet.targets])
 
     def kill(self) -> None:
-        name = self.node()
+        name = self.random_node()
         if (self.fleet.entries.get(name) or self.fleet.targets[name]).moves:
             self.fleet.kill(name)
             self.schedule_undo(lambda: self.fleet.start(name))
 
     def freeze(self) -> None:
-        name = self.node()
+        name = self.random_node()
         self.fleet.freeze(name)
         self.schedule_undo(lambda: self.fleet.thaw(name))
 
@@ -221,8 +221,8 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_invariants_hold_as_runners_return_under_their_ids(seed: int, bounds: Bounds) -> None:
-    soak = Soak(seed, bounds, returns=True)
+def test_invariants_hold_if_restarted_runners_keep_their_ids(seed: int, bounds: Bounds) -> None:
+    soak = Soak(seed, bounds, keep_ids=True)
     soak.run()
     check_refusals(soak)
     check_recovery(soak)
--- a/testing/core/leased/test_targetlogs.py
+++ b/testing/core/leased/test_targetlogs.py
@@ -24,7 +24,7 @@
     return Assign(job, 0, "spec", NEED, 400, 4000, [(0, 1)])
 
 
-def lines(effects: list[object], event: str) -> list[dict[str, object]]:
+def log_fields(effects: list[object], event: str) -> list[dict[str, object]]:
     """Return the fields of the log lines of one event."""
     return [dict(e.fields) for e in effects if isinstance(e, Log) and e.event == event]
 
@@ -55,15 +55,15 @@
 
 def test_pause_is_logged_once_with_its_length(worker: Worker) -> None:
     worker.tick(1.1)
-    assert lines(worker.tick(1.2), "stood_still") == []
-    assert lines(worker.tick(2.7), "stood_still") == [{"seconds": 1.5, "runs": 0}]
-    assert lines(worker.tick(2.8), "stood_still") == []
+    assert log_fields(worker.tick(1.2), "stood_still") == []
+    assert log_fields(worker.tick(2.7), "stood_still") == [{"seconds": 1.5, "runs": 0}]
+    assert log_fields(worker.tick(2.8), "stood_still") == []
 
 
 def test_lapsed_run_is_logged_with_its_reasons(worker: Worker) -> None:
     worker.frame_received(1.0, "e", Frame(1, 0, 1000, 1000, [assign("job")]))
     effects = worker.poll_failed(2.5)
-    assert lines(effects, "run_lapsed") == [
+    assert log_fields(effects, "run_lapsed") == [
         {
             "run": 1,
             "phase": "starting",
@@ -77,7 +77,7 @@
     foreign = RunId(TaskId("other", 0, 0), 1)
     worker.poll_answered(1.05, PollAnswer(1.04, [RunningRun(foreign, 5)], []))
     effects = worker.frame_received(1.1, "e", Frame(1, 0, 1100, 1050, [assign("job")]))
-    assert [line["reason"] for line in lines(effects, "run_ended")] == ["foreign_runs"]
+    assert [line["reason"] for line in log_fields(effects, "run_ended")] == ["foreign_runs"]
 
 
 def test_lost_runner_is_logged_with_its_runs_and_their_durations(worker: Worker) -> None:
@@ -86,5 +86,5 @@
     worker.next_poll(1.12)
     worker.poll_failed(1.13)
     over = 1.12 + TIMES.run_expiry + 0.01
-    (line,) = lines(worker.poll_failed(over), "runner_lost")
+    (line,) = log_fields(worker.poll_failed(over), "runner_lost")
     assert line == {"runner": "i-1", "how": "silent", "runs": 1, "worked_ms": "job.0.0#1:30"}
--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -358,14 +358,14 @@
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
 
 
-@pytest.mark.parametrize("seen_by", ["answer", "poll"])
-def test_pause_before_a_start_is_known_does_not_count_as_a_hung_runner(seen_by: str) -> None:
+@pytest.mark.parametrize("confirmed_by", ["answer", "poll"])
+def test_pause_before_a_start_is_known_does_not_count_as_a_hung_runner(confirmed_by: str) -> None:
     """Orders decided at 1.0 were executed, or their answers read, only after the pause."""
     worker = worker_with_run()
     second = RunId(TaskId("more", 0, 0), 1)
     more = Assign("more", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
     worker.frame_received(1.001, "e", Frame(2, 0, 1001, 1001, [more]))
-    if seen_by == "answer":
+    if confirmed_by == "answer":
         for run in (RUN, second):
             worker.start_answered(1.27, run, StartAnswer.STARTED)
     stopped: list[object] = []
