--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/orders.py
@@ -67,6 +67,9 @@
 class StartAnswer(Enum):
     """Outcome of an order to start.
 
+    Refused by the runner: NO_ROOM: the run doesn't fit. STALE: it or a later run of its task has
+    ended. FENCED: a call with a higher token came before. LATE: its lease ended before it arrived.
+
     UNKNOWN: no answer; the order may have been executed, or may yet be. NOT_SENT: it was not sent.
     EXPIRED: not sent, as its lease had ended. WITHDRAWN: not sent, as the run had become unwanted
     or forbidden.
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/progress.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/progress.py
@@ -13,7 +13,7 @@
 """Consecutive polls without progress before a run counts as stuck."""
 
 HUNG_SECONDS = 0.12
-"""Seconds during which no run makes progress after which a runner counts as hung."""
+"""Seconds for which all runs must lack progress before a runner counts as hung."""
 
 HUNG_SHARE = 0.03
 """Lower bound of that time as a share of a run's estimate, as percents are whole."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/session.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/session.py
@@ -58,7 +58,7 @@
 
     @property
     def pending(self) -> bool:
-        """Whether a frame is due before the next heartbeat, as bodies are queued."""
+        """Whether bodies are queued, so that a frame is due before the next heartbeat."""
         return bool(self._unsent)
 
     def frame(self, now_ms: int) -> Frame:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/wire.py
@@ -212,9 +212,10 @@
 
 @final
 class LossId(msgspec.Struct, frozen=True, array_like=True):
-    """Id of a loss: the runner's incarnation and when it became silent, by its target's clock.
+    """Id of a loss: the runner's incarnation and the time at which it became silent.
 
-    `born` comes last, so that processes without the field can decode the rest.
+    `silent_ms` is by its target's steady clock. `born` comes last, so that processes without the
+    field can decode the rest.
     """
 
     runner: str
@@ -327,11 +328,10 @@
 class Hello(msgspec.Struct, frozen=True, array_like=True):
     """First message of a connection, each way.
 
-    `entry`: whether the sender is an entry. `incarnation` changes with each start of the process.
-    In a target's message `session` is the
-    session to resume, or 0 if it has none; in an entry's answer it is the session to use, or 0 if
-    the named one can't be resumed. `received` is the number of the last body that the sender
-    received in it.
+    `incarnation` changes with each start of the process. `entry`: whether the sender is an entry.
+    In a target's message `session` is the session to resume, or 0 if it has none; in an entry's
+    answer it is the session to use, or 0 if the named one can't be resumed. `received` is the
+    number of the last body that the sender received in it.
     """
 
     name: str
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/worker.py
@@ -379,7 +379,7 @@
         return [evacuation_log(evacuations, entry)]
 
     def _assign(self, now: float, entry: str, body: Assign) -> None:
-        """Add the assigned runs to the pending ones; return those that are too many as ended."""
+        """Add the assigned runs to the pending ones; report excess ones as not started."""
         link = self._links[entry]
         link.report_due = True
         runs = [_run(now, entry, body, index, number) for index, number in body.runs]
