--- a/testing/core/leased/test_worker.py
+++ b/testing/core/leased/test_worker.py
@@ -3,7 +3,7 @@
 import pytest
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.entrylink import REPORT_SECONDS
+from paddleshunt_core.leased.entrylink import MIN_REPORT_INTERVAL
 from paddleshunt_core.leased.offers import OFFER_SECONDS
 from paddleshunt_core.leased.orders import (
     FinishedRun,
@@ -139,14 +139,14 @@
     little = worker.prepare_frames(1.02)
     assert (ample, little) == (
         1.0 + times.heartbeat,
-        1.0 + REPORT_SECONDS,
+        1.0 + MIN_REPORT_INTERVAL,
     )
 
 
 def test_overloaded_link_delays_reports_to_heartbeats_but_not_ends() -> None:
     times = lease_times(Bounds())
     worker = worker_with_run()
-    worker.sheds = True
+    worker.network_overloaded = True
     reports(worker, 1.0)
     worker.frame_received(1.02, "e", assignment(2, 1020, 6))
     assert worker.prepare_frames(1.02) == 1.0 + times.heartbeat
@@ -358,14 +358,14 @@
     assert not [effect for effect in effects if isinstance(effect, StopRun)]
 
 
-@pytest.mark.parametrize("seen_by", ["answer", "poll"])
-def test_pause_before_a_start_is_known_does_not_count_as_a_hung_runner(seen_by: str) -> None:
+@pytest.mark.parametrize("confirmed_by", ["answer", "poll"])
+def test_pause_before_a_start_is_known_does_not_count_as_a_hung_runner(confirmed_by: str) -> None:
     """Orders decided at 1.0 were executed, or their answers read, only after the pause."""
     worker = worker_with_run()
     second = RunId(TaskId("more", 0, 0), 1)
     more = Assign("more", 0, "spec", Resources(1000, 10), 400, 4000, [(0, 1)])
     worker.frame_received(1.001, "e", Frame(2, 0, 1001, 1001, [more]))
-    if seen_by == "answer":
+    if confirmed_by == "answer":
         for run in (RUN, second):
             worker.start_answered(1.27, run, StartAnswer.STARTED)
     stopped: list[object] = []
