--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -291,7 +291,9 @@
     ]
     entry.hosts(NOW, hosts)
     for number in range(members):
-        entry.members.heard(NOW, Incarnation(f"t-{number}", "1"), _heartbeat(number), 0.0)
+        entry.members.record_heartbeat(
+            NOW, Incarnation(f"t-{number}", "1"), _heartbeat(number), 0.0
+        )
     return entry
 
 
@@ -316,7 +318,9 @@
     entry.handle(NOW, Envelope(1, Incarnation("entry-1", "1"), "a:1", ENTRY, hello))
     entry._exchange_to(NOW + 1.0, "entry-1", "a:1")
     for number in range(members):
-        entry.members.heard(NOW + 2.0, Incarnation(f"t-{number}", "1"), _heartbeat(number), 0.0)
+        entry.members.record_heartbeat(
+            NOW + 2.0, Incarnation(f"t-{number}", "1"), _heartbeat(number), 0.0
+        )
     send = entry._exchange_to(NOW + 2.0, "entry-1", "a:1")
     assert isinstance(send.body, Exchange)
     return float(len(encode(Envelope(1, ENTRY, "a:1", send.to, send.body))))
@@ -346,7 +350,7 @@
     entry = _entry(0)
     for number in range(peers):
         beat = msgspec.structs.replace(_heartbeat(number), site="hall-0", service="service-0")
-        entry.members.heard(NOW, Incarnation(f"t-{number}", "1"), beat, 0.0)
+        entry.members.record_heartbeat(NOW, Incarnation(f"t-{number}", "1"), beat, 0.0)
     member = entry.members.all()[0]
     view = entry._view(NOW, member).body
     return float(len(encode(Envelope(1, ENTRY, "a:1", member.incarnation, view))))
@@ -387,7 +391,7 @@
     beat = encode(Envelope(1, name, "10.0.0.1:7000", ENTRY, _heartbeat(1)))
     whole = entry._view(NOW, member).body
     assert isinstance(whole, View)
-    entry.members.heard(
+    entry.members.record_heartbeat(
         NOW + 1.0, name, msgspec.structs.replace(_heartbeat(0), view=whole.digest), 0.0
     )
     short = encode(Envelope(1, ENTRY, "a:1", name, entry._view(NOW, member).body))
--- a/testing/council/test_silent_connections.py
+++ b/testing/council/test_silent_connections.py
@@ -117,10 +117,10 @@
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     for entry in ("a", "b"):
         worker.greeting_answered(1.0, Hello(entry, "life", True, "hall", "", 1, 0), 1.0)
-        assert worker.next_frame(1.0, entry, beat=True) is not None
+        assert worker.next_frame(1.0, entry, heartbeat_allowed=True) is not None
         worker.frame_received(1.001, entry, Frame(1, 0, 1000, 1000, []))
-    assert worker.next_frame(1.3, "b", beat=True) is None
+    assert worker.next_frame(1.3, "b", heartbeat_allowed=True) is None
     worker.probe()
-    assert worker.next_frame(1.3, "b", beat=True) is not None
+    assert worker.next_frame(1.3, "b", heartbeat_allowed=True) is not None
     assert not worker.is_silent(1.3 + times.reconnect_after - 0.01, "b")
     assert worker.is_silent(1.3 + times.reconnect_after + 0.01, "b")
