--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -173,7 +173,7 @@
 
 def _home(links: int, slots: int = 8) -> Home:
     home = Home(HOME, HomeLimits(max_records=1_000_000), Placement("hall", Random(1)))
-    home.view_peers(NOW, _peers(links, slots), set())
+    home.update_peers(NOW, _peers(links, slots), set())
     return home
 
 
@@ -289,7 +289,7 @@
         Host(f"entry-{n}", Role.ENTRY, "hall-0", "hall-0", f"10.1.0.{n}:7000")
         for n in range(entries)
     ]
-    entry.hosts(NOW, hosts)
+    entry.update_hosts(NOW, hosts)
     for number in range(members):
         entry.members.heard(NOW, Incarnation(f"t-{number}", "1"), _heartbeat(number), 0.0)
     return entry
@@ -329,7 +329,7 @@
     document = TableDocument(9, "edit", [], rows)
 
     def work() -> None:
-        for effect in entry.table_handed(NOW + 1.0, document):
+        for effect in entry.receive_table(NOW + 1.0, document):
             if isinstance(effect, Send):
                 encode(Envelope(1, ENTRY, "a:1", effect.to, effect.body))
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/entry.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/entry.py
@@ -161,7 +161,7 @@
 
     # Platform's side.
 
-    def hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
+    def update_hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
         """Take the platform's list of hosts."""
         if not self.members.update_hosts(now, hosts):
             return []
@@ -175,11 +175,11 @@
             return [Log("store_went_back", fields=dict(fields))]
         return self._table_adopted(now) if adopted else []
 
-    def table_handed(self, now: float, document: TableDocument) -> list[Effect]:
+    def receive_table(self, now: float, document: TableDocument) -> list[Effect]:
         """Take a table that the operators' command line, or another entry, hands over."""
         return self._table_adopted(now) if self.table.adopt(document) else []
 
-    def allotment(self, now: float, allotment: Allotment) -> list[Effect]:
+    def receive_allotment(self, now: float, allotment: Allotment) -> list[Effect]:
         """Take a row's allotment from the store or from another entry."""
         if not self._divider.adopt(allotment):
             return []
@@ -196,7 +196,7 @@
             effects += self._regular_news(now)
         return effects
 
-    def greet(self, now: float) -> list[Effect]:
+    def request_state(self, now: float) -> list[Effect]:
         """Ask all other entries for table, members and allotments, as a starting entry does."""
         return [self._exchange_to(now, h.host, h.peers, reply=True) for h in self._other_entries()]
 
@@ -290,9 +290,9 @@
         effects: list[Effect] = []
         if body.table:
             document = msgspec.json.decode(body.table, type=TableDocument)
-            effects += self.table_handed(now, document)
+            effects += self.receive_table(now, document)
         for raw in body.allotments:
-            effects += self.allotment(now, msgspec.json.decode(raw, type=Allotment))
+            effects += self.receive_allotment(now, msgspec.json.decode(raw, type=Allotment))
         effects += self._take_news(now, sender.host, body)
         if body.reply or body.table_revision < self.table.revision:
             effects.append(self._exchange_to(now, sender.host, address, full=True))
--- a/packages/paddleshunt-core/src/paddleshunt_core/forecast.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/forecast.py
@@ -42,7 +42,7 @@
         """Estimate the seconds until `waiting` more tasks of this home could have ended."""
         usable = [link for link in self._links.values() if link.is_usable(now)]
         slots = sum(link.load.slots for link in usable)
-        busy = sum(self._placement.busy(link, now) for link in usable)
+        busy = sum(self._placement.estimated_tasks(link, now) for link in usable)
         if slots == 0:
             return 0.0
         estimate = (waiting + busy) / slots * self.task_seconds
--- a/packages/paddleshunt-core/src/paddleshunt_core/gate.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/gate.py
@@ -30,16 +30,16 @@
 
 TaskKey = tuple[str, int]
 
-STAMP_WINDOW = 30.0
+MAX_STAMP_AGE = 30.0
 """Seconds for which a message of a home is valid by the gate's clock."""
 
-STAMP_AHEAD = 5.0
+MAX_STAMP_LEAD = 5.0
 """Seconds by which a home's estimate of the gate's clock may be ahead."""
 
-KEEP = 60.0
-"""Seconds a record outlives its task's deadline, and a channel its last message.
+RETENTION_SECONDS = 60.0
+"""Seconds that a record is kept after its task's deadline, and a channel after its last message.
 
-Longer than `STAMP_WINDOW + STAMP_AHEAD`, so nothing that is still valid can find them forgotten.
+Longer than `MAX_STAMP_AGE + MAX_STAMP_LEAD`, so that every valid message finds them.
 """
 
 
@@ -264,7 +264,7 @@
 
     def _is_stale(self, now: float, stamp_ms: int) -> bool:
         age = now - stamp_ms / 1000
-        return age > STAMP_WINDOW or age < -STAMP_AHEAD
+        return age > MAX_STAMP_AGE or age < -MAX_STAMP_LEAD
 
     def _admit(
         self,
@@ -366,7 +366,7 @@
             self._forget(key)
         while self._kept and self._kept[0] not in self._records:
             self._kept.popleft()
-        silent = [h for h, c in self._channels.items() if c.last_heard + KEEP < now]
+        silent = [h for h, c in self._channels.items() if c.last_heard + RETENTION_SECONDS < now]
         busy = {record.home for record in self._records.values()}
         for home in silent:
             if home not in busy:
@@ -406,4 +406,4 @@
 
 
 def _is_over(record: _Record, now: float) -> bool:
-    return record.phase is _Phase.ENDED and record.expires + KEEP < now
+    return record.phase is _Phase.ENDED and record.expires + RETENTION_SECONDS < now
--- a/packages/paddleshunt-core/src/paddleshunt_core/home.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/home.py
@@ -125,7 +125,7 @@
 
     # Targets' side.
 
-    def view_peers(self, now: float, peers: Iterable[PeerInfo], closed_sites: set[str]) -> None:
+    def update_peers(self, now: float, peers: Iterable[PeerInfo], closed_sites: set[str]) -> None:
         """Take the targets of the service as an entry tells them."""
         self._closed_sites = closed_sites
         named: set[Incarnation] = set()
@@ -136,7 +136,7 @@
             link.leaving = peer.leaving or link.leaving
             if now - link.load_at > REPORT_FRESH or peer.load.slots != link.load.slots:
                 link.update_load(now, peer.load, peer.clock_ms)
-                self._placement.note(link)
+                self._placement.record_load(link)
         for incarnation, link in list(self._links.items()):
             if incarnation not in named and not link.outstanding:
                 del self._links[incarnation]
@@ -152,7 +152,7 @@
         for submission, index in link.outstanding:
             job = self._jobs.get(submission)
             if job is not None:
-                job.lose(index, f"its target {incarnation.host} has ended")
+                job.mark_lost(index, f"its target {incarnation.host} has ended")
                 effects += self._settle(now, job)
         return effects
 
@@ -172,7 +172,7 @@
             for index in refs.indexes:
                 self._take_started(link, (refs.submission, index), touched)
         link.update_load_from(now, message, self._placement.pipeline)
-        self._placement.note(link)
+        self._placement.record_load(link)
         if message.refused and not message.answers:
             link.full_until = now + FULL_SECONDS
         effects: list[Effect] = []
@@ -206,7 +206,7 @@
             if now >= job.deadline - HOLD_MARGIN and not job.stopping:
                 effects += self._stop(now, job, "deadline")
             if now >= job.deadline:
-                effects += self._settle(now, job, final_call=True)
+                effects += self._settle(now, job, at_deadline=True)
         effects += self._revoke_queued(now)
         effects += self._inquiries.ask_slow(now, self._links.values())
         self._records.forget(now)
@@ -304,7 +304,7 @@
             return
         touched[job.submission] = job
         if result.ok is None:
-            job.lose(result.index, "how it ended is not known any more")
+            job.mark_lost(result.index, "how it ended is not known any more")
             return
         self._forecast.learn(now - out.sent)
         job.finish(result.index, ok=result.ok, payload=result.payload)
@@ -334,10 +334,10 @@
         `number` is that of the messages that will carry them.
         """
         while job.waiting:
-            link = plan.take()
+            link = plan.next_target()
             if link is None:
                 return False
-            index = job.take()
+            index = job.assign_next()
             batch = link.batches.get(job.submission)
             if batch is None:
                 expires_ms = max(0, int((job.deadline - now) * 1000))
@@ -363,7 +363,7 @@
         plan = self._placement.plan(self._links.values(), now, self._closed_sites)
         return self._inquiries.revoke_queued(now, stuck) if plan.free_slots else []
 
-    def _settle(self, now: float, job: Job, *, final_call: bool = False) -> list[Effect]:
+    def _settle(self, now: float, job: Job, *, at_deadline: bool = False) -> list[Effect]:
         """Answer the job if its outcome is settled."""
         if job.submission not in self._jobs:
             return []
@@ -371,7 +371,9 @@
         retry_after = (
             self._forecast.wait(now, self._forecast.waiting_tasks()) if job.stopping else 0.0
         )
-        outcome = job.verdict(final_call=final_call, retry_after_ms=int(retry_after * 1000))
+        outcome = job.settled_outcome(
+            at_deadline=at_deadline, retry_after_ms=int(retry_after * 1000)
+        )
         if outcome is None:
             return []
         effects: list[Effect] = []
--- a/packages/paddleshunt-core/src/paddleshunt_core/job.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/job.py
@@ -53,7 +53,7 @@
         self.waiting = deque(range(count))
         self.unfinished = count
 
-    def take(self) -> int:
+    def assign_next(self) -> int:
         """Return the next waiting task, which is now assigned."""
         index = self.waiting.popleft()
         self.states[index] = TaskState.ASSIGNED
@@ -81,7 +81,7 @@
         self.states[index] = TaskState.FAILED
         self.failure = self.failure or f"task {index}: {payload.decode(errors='replace')}"
 
-    def lose(self, index: int, why: str) -> None:
+    def mark_lost(self, index: int, why: str) -> None:
         """Note that nobody can tell any more whether the task ran."""
         self.states[index] = TaskState.LOST
         self.lost = True
@@ -97,8 +97,8 @@
         """Return the tasks that are in one of `states`."""
         return [index for index, state in enumerate(self.states) if state in states]
 
-    def verdict(self, *, final_call: bool, retry_after_ms: int) -> Outcome | None:
-        """Return the outcome if it is settled; with `final_call`, the truest one there is now."""
+    def settled_outcome(self, *, at_deadline: bool, retry_after_ms: int) -> Outcome | None:
+        """Return the outcome if it is settled; with `at_deadline`, the truest one there is now."""
         if self.unfinished == 0 and not self.failure:
             return Complete(self.results)
         if self.lost:
@@ -107,17 +107,17 @@
             return self._failed(self.failure)
         if not self.stopping:
             return None
-        return self._stopped(final_call=final_call, retry_after_ms=retry_after_ms)
+        return self._stopped(at_deadline=at_deadline, retry_after_ms=retry_after_ms)
 
-    def _stopped(self, *, final_call: bool, retry_after_ms: int) -> Outcome | None:
+    def _stopped(self, *, at_deadline: bool, retry_after_ms: int) -> Outcome | None:
         unsettled = self.indexes(TaskState.ASSIGNED)
         if unsettled:
-            if not final_call:
+            if not at_deadline:
                 return None
             return Unknown(f"{self.stopping}; {len(unsettled)} tasks may have started")
         if not self.indexes(TaskState.STARTED, TaskState.DONE):
             return NotRun(self.stopping, retry_after_ms)
-        if self.indexes(TaskState.STARTED) and not final_call:
+        if self.indexes(TaskState.STARTED) and not at_deadline:
             return None
         return self._failed(self.stopping)
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/placement.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/placement.py
@@ -48,13 +48,13 @@
         self._usual = 0.0
         """Mean load of other homes, in tasks a slot."""
 
-    def note(self, link: Link) -> None:
+    def record_load(self, link: Link) -> None:
         """Learn from a target's fresh load how busy others usually keep the targets."""
         if link.load.slots:
             found = link.other_tasks / link.load.slots
             self._usual += USUAL_STEP * (found - self._usual)
 
-    def busy(self, link: Link, now: float) -> float:
+    def estimated_tasks(self, link: Link, now: float) -> float:
         """Estimate the tasks at a target; the older its report, the more it counts as usual."""
         age = link.age(now)
         other_tasks = link.other_tasks * (1.0 - age) + self._usual * link.load.slots * age
@@ -69,7 +69,7 @@
         for link in links:
             if not link.is_usable(now) or now < link.full_until or link.site in closed:
                 continue
-            spot = self._spot(link, self.busy(link, now), now)
+            spot = self._spot(link, self.estimated_tasks(link, now), now)
             if spot is not None:
                 spots.append(spot)
         return Plan(self, spots, now)
@@ -105,7 +105,7 @@
         """Whether some target seems to have a free slot."""
         return bool(self._spots) and self._spots[0].tier in (_FREE_NEAR, _FREE_ANY)
 
-    def take(self) -> Link | None:
+    def next_target(self) -> Link | None:
         """Return the target for one more task, or None to hold it."""
         if not self._spots:
             return None
--- a/packages/paddleshunt-core/src/paddleshunt_core/target.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/target.py
@@ -111,7 +111,7 @@
             "gate": self.gate.describe(),
         }
 
-    def know_entries(self, entries: list[EntryInfo]) -> None:
+    def add_listed_entries(self, entries: list[EntryInfo]) -> None:
         """Take entries from the platform's list, while no entry has been heard."""
         for entry in entries:
             self._entries[entry.host] = entry.address
@@ -160,7 +160,7 @@
             self._leave_at = now + LINGER
         return now >= self._leave_at
 
-    def farewell(self, now: float) -> list[Effect]:
+    def final_heartbeats(self, now: float) -> list[Effect]:
         """Tell all entries that this incarnation ends now."""
         return self._heartbeats(now, everyone=True, ended=True)
 
@@ -210,7 +210,7 @@
         self._entries = {entry.host: entry.address for entry in picture.entries}
         effects = self._adopt_table(revision, picture.rows)
         closed = {row.site for row in self._rows if row.weight == 0}
-        self.home.view_peers(now, picture.peers, closed)
+        self.home.update_peers(now, picture.peers, closed)
         return effects
 
     def _ended(self, now: float, incarnation: Incarnation) -> list[Effect]:
--- a/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
@@ -237,7 +237,7 @@
             document = msgspec.json.decode(call.raw, type=TableDocument)
         except msgspec.MsgspecError as problem:
             return error(HTTPStatus.BAD_REQUEST, str(problem), at="body")
-        self._node.post(lambda now: self._entry.table_handed(now, document))
+        self._node.post(lambda now: self._entry.receive_table(now, document))
         return Response(HTTPStatus.ACCEPTED, b"{}")
 
     def _describe(self, now: float) -> dict[str, object]:
@@ -249,16 +249,16 @@
         self._node.post(lambda now: self._entry.table_from_store(now, document))
 
     def _on_allotment(self, allotment: Allotment) -> None:
-        self._node.post(lambda now: self._entry.allotment(now, allotment))
+        self._node.post(lambda now: self._entry.receive_allotment(now, allotment))
 
     def _on_hosts(self, hosts: list[Host]) -> None:
         self._node.post(lambda now: self._take_hosts(now, hosts))
 
     def _take_hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
-        effects = self._entry.hosts(now, hosts)
+        effects = self._entry.update_hosts(now, hosts)
         if not self._greeted:
             self._greeted = True
-            effects += self._entry.greet(now)
+            effects += self._entry.request_state(now)
         return effects
 
     # The core's effects, on the loop's thread.
--- a/packages/paddleshunt-node/src/paddleshunt_node/targetprocess.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/targetprocess.py
@@ -81,7 +81,7 @@
         while waited < patience and not self._may_exit.wait(EXIT_POLL):
             waited += EXIT_POLL
             self._node.post(self._check_exit)
-        self._node.post(self._target.farewell)
+        self._node.post(self._target.final_heartbeats)
         self._web.stop()
         self._hosts.stop()
         self._node.stop()
@@ -138,7 +138,7 @@
         ]
 
         def know(now: float) -> list[Effect]:
-            self._target.know_entries(entries)
+            self._target.add_listed_entries(entries)
             return []
 
         self._node.post(know)
--- a/testing/core/test_gate.py
+++ b/testing/core/test_gate.py
@@ -1,6 +1,6 @@
 import pytest
 from paddleshunt_core.effects import Effect, Send, Start
-from paddleshunt_core.gate import KEEP, STAMP_WINDOW, Gate, GateLimits
+from paddleshunt_core.gate import MAX_STAMP_AGE, RETENTION_SECONDS, Gate, GateLimits
 from paddleshunt_core.ids import Incarnation
 from paddleshunt_core.messages import Assign, Inquire, Report, Share, Task, TaskBatch, TaskRefs
 
@@ -106,7 +106,7 @@
     assert gate.describe()["records"] == 0
 
 
-@pytest.mark.parametrize("age", [STAMP_WINDOW + 1, -60.0], ids=["old", "from the future"])
+@pytest.mark.parametrize("age", [MAX_STAMP_AGE + 1, -60.0], ids=["old", "from the future"])
 def test_stale_assign_is_refused(gate: Gate, age: float) -> None:
     assert started(gate.assign(NOW, HOME, "h", assign(1, 0, at=NOW - age))) == []
     assert report(gate).refused == [TaskRefs("s", [0])]
@@ -161,7 +161,7 @@
     gate.assign(NOW, HOME, "h", assign(1, 0))
     gate.finished(NOW, "s", 0, True, b"")
     first = report(gate).number
-    later = NOW + 2 * KEEP + 20
+    later = NOW + 2 * RETENTION_SECONDS + 20
     gate.tick(later)
     assert gate.describe()["channels"] == 0
     gate.assign(later, HOME, "h", assign(2, 1, at=later))
--- a/testing/core/test_home.py
+++ b/testing/core/test_home.py
@@ -38,7 +38,7 @@
 
 def make_home(rng: Random, limits: HomeLimits) -> Home:
     home = Home(ME, limits, Placement("hall", rng))
-    home.view_peers(NOW, [PeerInfo(GATE, "g", "hall", 0, Load(slots=2))], set())
+    home.update_peers(NOW, [PeerInfo(GATE, "g", "hall", 0, Load(slots=2))], set())
     return home
 
 
@@ -179,7 +179,7 @@
     home = make_home(rng, HomeLimits())
     second = Incarnation("gate-2", "1")
     peers = [PeerInfo(g, g.host, "hall", 0, Load(slots=1)) for g in (GATE, second)]
-    home.view_peers(NOW, peers, set())
+    home.update_peers(NOW, peers, set())
     home.submit(NOW, ENTRY, "e", submit(rng, 2))
     home.flush(NOW)
     effects = home.target_ended(NOW, GATE)
--- a/testing/core/test_placement.py
+++ b/testing/core/test_placement.py
@@ -25,7 +25,7 @@
 
 def take(placement: Placement, links: list[Link], count: int) -> list[str | None]:
     plan = placement.plan(links, NOW, set())
-    taken = [plan.take() for _ in range(count)]
+    taken = [plan.next_target() for _ in range(count)]
     return [each.incarnation.host if each else None for each in taken]
 
 
@@ -61,14 +61,14 @@
 
 def test_closed_site_and_missing_share_get_nothing(placement: Placement) -> None:
     plan = placement.plan([link("a", "depot"), link("b", slots=0)], NOW, {"depot"})
-    assert plan.take() is None
+    assert plan.next_target() is None
 
 
 def test_refusal_is_waited_out(placement: Placement) -> None:
     only = link("a")
     only.full_until = NOW + FULL_SECONDS
     assert take(placement, [only], 1) == [None]
-    assert placement.plan([only], NOW + FULL_SECONDS, set()).take() is only
+    assert placement.plan([only], NOW + FULL_SECONDS, set()).next_target() is only
 
 
 def test_target_that_seems_full_is_probed_with_one_task(placement: Placement) -> None:
@@ -80,13 +80,13 @@
 
 def test_old_report_fades_to_what_is_usual(placement: Placement) -> None:
     for _ in range(100):
-        placement.note(link("usual", running=4))
+        placement.record_load(link("usual", running=4))
     stale = link("a", running=0)
-    assert placement.busy(stale, NOW) == 0.0
-    assert placement.busy(stale, NOW + 10.0) == pytest.approx(4.0, abs=0.1)
+    assert placement.estimated_tasks(stale, NOW) == 0.0
+    assert placement.estimated_tasks(stale, NOW + 10.0) == pytest.approx(4.0, abs=0.1)
 
 
 def test_own_tasks_always_count(placement: Placement) -> None:
     target = link("a")
     hold(target, 3)
-    assert placement.busy(target, NOW + 10.0) >= 3.0
+    assert placement.estimated_tasks(target, NOW + 10.0) >= 3.0
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -138,7 +138,7 @@
         if isinstance(machine, Entry):
             self._start_entry(process, machine)
         else:
-            machine.know_entries(self._listed_entries())
+            machine.add_listed_entries(self._listed_entries())
         self._tick(process)
 
     def _target_settings(self, host: Host, me: Incarnation) -> TargetSettings:
@@ -154,8 +154,8 @@
         )
 
     def _start_entry(self, process: Process, entry: Entry) -> None:
-        self._perform(process, entry.hosts(self.now, self.shown_hosts))
-        self._perform(process, entry.greet(self.now))
+        self._perform(process, entry.update_hosts(self.now, self.shown_hosts))
+        self._perform(process, entry.request_state(self.now))
         self._read_store(process)
 
     # Time.
@@ -232,7 +232,7 @@
         if not process.alive:
             return
         if machine.may_exit(self.now):
-            self._perform(process, machine.farewell(self.now))
+            self._perform(process, machine.final_heartbeats(self.now))
             process.alive = False
             return
         self.at(TICK, lambda: self._await_exit(process, machine))
@@ -269,12 +269,12 @@
         for process in self.entries():
             entry = process.machine
             assert isinstance(entry, Entry)
-            self._perform(process, entry.hosts(self.now, self.shown_hosts))
+            self._perform(process, entry.update_hosts(self.now, self.shown_hosts))
         for process in self._live(Role.TARGET):
             target = process.machine
             assert isinstance(target, Target)
             if target.needs_entries(self.now):
-                target.know_entries(self._listed_entries())
+                target.add_listed_entries(self._listed_entries())
 
     def _listed_entries(self) -> list[EntryInfo]:
         hosts = [h for h in self.shown_hosts if h.role is Role.ENTRY]
@@ -352,7 +352,7 @@
         """Hand an accepted table to every entry, as the command line does."""
         for process in self.entries():
             assert isinstance(process.machine, Entry)
-            self._perform(process, process.machine.table_handed(self.now, document))
+            self._perform(process, process.machine.receive_table(self.now, document))
 
     # Looking.
 
@@ -574,7 +574,7 @@
             self._perform(process, entry.table_from_store(self.now, document))
         elif value.key.startswith(ALLOTMENT_PREFIX):
             allotment = msgspec.json.decode(value.data, type=Allotment)
-            self._perform(process, entry.allotment(self.now, allotment))
+            self._perform(process, entry.receive_allotment(self.now, allotment))
 
     def _write(self, process: Process, allotment: Allotment) -> None:
         key = allotment_key(allotment.service, allotment.site)
--- a/testing/scenarios/test_planted_bugs.py
+++ b/testing/scenarios/test_planted_bugs.py
@@ -48,7 +48,7 @@
 
 def place_lost_tasks_again(patch: pytest.MonkeyPatch) -> None:
     """A home gives the tasks of a lost target to another one."""
-    patch.setattr(Job, "lose", lambda self, index, why: self.put_back(index))
+    patch.setattr(Job, "mark_lost", lambda self, index, why: self.put_back(index))
 
 
 def take_before_given_up(patch: pytest.MonkeyPatch) -> None:
@@ -81,13 +81,13 @@
 def answer_in_part(patch: pytest.MonkeyPatch) -> None:
     """A job counts as complete with one task to go."""
 
-    def verdict(self: Job, *, final_call: bool, retry_after_ms: int) -> Outcome | None:
+    def settled_outcome(self: Job, *, at_deadline: bool, retry_after_ms: int) -> Outcome | None:
         if self.unfinished > 1:
             return None
         done = [r for r, s in zip(self.results, self.states, strict=True) if s == TaskState.DONE]
         return Complete(done)
 
-    patch.setattr(Job, "verdict", verdict)
+    patch.setattr(Job, "settled_outcome", settled_outcome)
 
 
 def mix_answers_up(patch: pytest.MonkeyPatch) -> None:
@@ -105,15 +105,15 @@
 def start_while_leaving(patch: pytest.MonkeyPatch) -> None:
     """A leaving gate takes work as before."""
     patch.setattr(Gate, "leave", lambda self: None)
-    patch.setattr(Home, "view_peers", _view_without_leaving(Home.view_peers))
+    patch.setattr(Home, "update_peers", _view_without_leaving(Home.update_peers))
 
 
 def _view_without_leaving(view: Callable[..., None]) -> Callable[..., None]:
-    def view_peers(self: Home, now: float, peers: object, closed: set[str]) -> None:
+    def update_peers(self: Home, now: float, peers: object, closed: set[str]) -> None:
         staying = [msgspec.structs.replace(p, leaving=False) for p in peers]  # type: ignore[attr-defined]
         view(self, now, staying, closed)
 
-    return view_peers
+    return update_peers
 
 
 @pytest.mark.parametrize(
