--- a/packages/paddleshunt-core/src/paddleshunt_core/gate.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/gate.py
@@ -1,9 +1,9 @@
-"""The gate: decides which tasks its runner starts, and never lets one start twice.
+"""The gate: starts tasks on its runner, each at most once.
 
-A gate takes tasks from any home. It holds one record for each task until the home has acknowledged
-the task's end, and the highest message number of each home. A copy of a message that comes late or
-twice has a number that is not above the highest, and is dropped; so a task whose record is
-forgotten can't be started by an old message.
+A gate takes tasks from any home. It keeps a record of each task until the home has acknowledged the
+task's end, and the highest message number received from each home. Late and repeated messages have
+a number that is not above it and are dropped, so an old message can't start a task whose record has
+been removed.
 """
 
 from collections import deque
@@ -31,10 +31,10 @@
 TaskKey = tuple[str, int]
 
 MAX_STAMP_AGE = 30.0
-"""Seconds for which a message of a home is valid by the gate's clock."""
+"""Seconds after which a message of a home is stale, by the gate's clock."""
 
 MAX_STAMP_LEAD = 5.0
-"""Seconds by which a home's estimate of the gate's clock may be ahead."""
+"""Seconds by which a message's timestamp may be ahead of the gate's clock."""
 
 RETENTION_SECONDS = 60.0
 """Seconds that a record is kept after its task's deadline, and a channel after its last message.
@@ -46,10 +46,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GateLimits:
-    """Slots of the runner, tasks to queue beyond them, and bytes of results kept for homes.
+    """Slots of the runner, tasks queued beyond them, and bytes of results kept for homes.
 
-    Homes aim to queue only a few (`Placement`'s pipeline); the gate's queue is longer, so that
-    what several of them sent at once is queued instead of refused.
+    The queue is longer than `Placement`'s pipeline, so that tasks that several homes send at once
+    are queued instead of refused.
     """
 
     slots: int
@@ -76,14 +76,14 @@
 
 @dataclass(slots=True)
 class _Channel:
-    """What the gate knows of one home, and what its next report will say."""
+    """The gate's state for one home, and the content of its next report."""
 
     address: str
-    last_heard: float
+    last_message_at: float
     seen_seq: int = 0
     reports: int = 0
     answers: int = 0
-    dirty: bool = False
+    report_due: bool = False
     unacked: deque[TaskKey] = field(default_factory=deque)
     results: list[TaskResult] = field(default_factory=list)
     refused: dict[str, list[int]] = field(default_factory=dict)
@@ -93,7 +93,7 @@
 
 @final
 class Gate:
-    """State of one gate. Call `flush` after each batch of inputs to get reports for the homes."""
+    """State of one gate. Call `flush` after each batch of inputs for the reports to send."""
 
     def __init__(self, limits: GateLimits, waste: Waste | None = None) -> None:
         self._limits = limits
@@ -103,17 +103,17 @@
         self._queue: deque[TaskKey] = deque()
         self._channels: dict[Incarnation, _Channel] = {}
         self._running = 0
-        self._kept_bytes = 0
-        self._kept: deque[TaskKey] = deque()
+        self._result_bytes = 0
+        self._result_order: deque[TaskKey] = deque()
         self._next_sweep = 0.0
         self._highest_report = 0
-        # Homes that were refused for lack of room, to be told when there is some.
-        self._wanting: dict[Incarnation, None] = {}
+        # Homes refused for lack of capacity, in that order; notified once there is some.
+        self._refused_homes: dict[Incarnation, None] = {}
         self.leaving = False
 
     @property
     def load(self) -> Load:
-        """Tasks running and queued here, and the slots in force now."""
+        """The slots in force, and the tasks that are running and queued."""
         return Load(self._slots, self._running, len(self._queue))
 
     @property
@@ -123,7 +123,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no task runs or waits here."""
+        """Whether no task is running or queued."""
         return self._running == 0 and not self._queue
 
     def describe(self) -> dict[str, object]:
@@ -134,52 +134,52 @@
             "share": self._share,
             "records": len(self._records),
             "channels": len(self._channels),
-            "kept_result_bytes": self._kept_bytes,
+            "kept_result_bytes": self._result_bytes,
         }
 
     def set_share(self, now: float, share: Share) -> list[Effect]:
-        """Follow `share` if its revision is higher than the one in force."""
+        """Adopt `share` if its revision is higher than the one in force."""
         if share.revision <= self.share_revision:
             return []
         self._share = share
         fields = {"revision": share.revision, "max_running": share.max_running}
-        return [Log("share_adopted", fields=dict(fields)), *self._pump(now)]
+        return [Log("share_adopted", fields=dict(fields)), *self._start_queued(now)]
 
     def leave(self) -> None:
-        """Refuse all new work, and give back what is queued as not started."""
+        """Refuse new tasks, and return queued ones to their homes as not started."""
         self.leaving = True
         for key in list(self._queue):
             self._refuse_record(key)
 
     def assign(self, now: float, home: Incarnation, address: str, message: Assign) -> list[Effect]:
-        """Take tasks from a home, or refuse those there is no room for."""
-        channel = self._open(now, home, address, message)
+        """Queue tasks from a home, and refuse those beyond the capacity."""
+        channel = self._accept_message(now, home, address, message)
         if channel is None:
             return []
         stale = self._is_stale(now, message.stamp_ms)
         for batch in message.batches:
             for task in batch.tasks:
                 self._admit(now, home, channel, batch, task, stale=stale)
-        return self._pump(now)
+        return self._start_queued(now)
 
     def inquire(
         self, now: float, home: Incarnation, address: str, message: Inquire
     ) -> list[Effect]:
-        """Tell a home where its tasks are; those not known here will never start."""
-        channel = self._open(now, home, address, message)
+        """Report the state of a home's tasks; unknown ones are refused, and can't start later."""
+        channel = self._accept_message(now, home, address, message)
         if channel is None or self._is_stale(now, message.stamp_ms):
             return []
         channel.answers = message.seq
-        channel.dirty = True
+        channel.report_due = True
         for refs in message.refs:
             for index in refs.indexes:
-                self._tell(channel, (refs.submission, index), revoke=message.revoke)
-        return self._pump(now)
+                self._add_state(channel, (refs.submission, index), revoke=message.revoke)
+        return self._start_queued(now)
 
     def finished(
         self, now: float, submission: str, index: int, ok: bool | None, payload: bytes
     ) -> list[Effect]:
-        """Take the end of a started task from the runner (`ok` None: its answer was lost)."""
+        """Record the end of a started task (`ok` None: the runner's response was lost)."""
         key = (submission, index)
         record = self._records[key]
         self._running -= 1
@@ -189,37 +189,37 @@
         channel = self._channels.get(record.home)
         if channel is not None:
             self._report_end(channel, key, record)
-        return self._pump(now)
+        return self._start_queued(now)
 
     def not_started(self, now: float, submission: str, index: int) -> list[Effect]:
-        """Take back a task that provably never reached the runner, and refuse it."""
+        """Refuse a task that certainly never reached the runner."""
         self._running -= 1
         self._refuse_record((submission, index))
-        return self._pump(now)
+        return self._start_queued(now)
 
     def home_ended(self, now: float, home: Incarnation) -> list[Effect]:
-        """Drop what is queued for a home that can't be answered any more."""
-        doomed = [key for key in self._queue if self._records[key].home == home]
-        for key in doomed:
+        """Drop the queued tasks of a home that has ended."""
+        dropped = [key for key in self._queue if self._records[key].home == home]
+        for key in dropped:
             self._queue.remove(key)
             del self._records[key]
-        return self._pump(now)
+        return self._start_queued(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Refuse queued tasks past their deadline and forget what can't matter any more."""
+        """Refuse queued tasks past their deadline, and remove expired records and channels."""
         for key in [k for k in self._queue if self._records[k].expires <= now]:
             self._refuse_record(key)
         if now >= self._next_sweep:
             self._next_sweep = now + 1.0
             self._sweep(now)
-        return self._pump(now)
+        return self._start_queued(now)
 
     def flush(self, now: float) -> list[Effect]:
-        """Return one report for each home that has something to hear."""
-        self._offer_room()
+        """Return the reports that are due, one for each home."""
+        self._notify_refused_homes()
         effects: list[Effect] = []
         for home, channel in self._channels.items():
-            if channel.dirty:
+            if channel.report_due:
                 effects.append(Send(home, channel.address, self._report(now, channel)))
         return effects
 
@@ -230,25 +230,25 @@
         return min(self._limits.slots, self._share.max_running)
 
     @property
-    def _room(self) -> int:
+    def _free_capacity(self) -> int:
         if self._share is None or self.leaving:
             return 0
         ceiling = min(self._slots + self._limits.queue, self._share.max_in_flight)
         return ceiling - self._running - len(self._queue)
 
-    def _offer_room(self) -> None:
-        """Let as many homes as there is room for hear of it, those that were refused first."""
-        for home in list(self._wanting)[: max(0, self._room)]:
-            del self._wanting[home]
+    def _notify_refused_homes(self) -> None:
+        """Make reports due for the longest refused homes, as many as there is capacity for."""
+        for home in list(self._refused_homes)[: max(0, self._free_capacity)]:
+            del self._refused_homes[home]
             channel = self._channels.get(home)
-            if channel is not None and not channel.dirty:
+            if channel is not None and not channel.report_due:
                 self._waste.offers += 1
-                channel.dirty = True
+                channel.report_due = True
 
-    def _open(
+    def _accept_message(
         self, now: float, home: Incarnation, address: str, message: Assign | Inquire
     ) -> _Channel | None:
-        """Return the home's channel, or None if the message is late or repeated."""
+        """Return the home's updated channel, or None if the message is late or repeated."""
         channel = self._channels.get(home)
         if channel is None:
             channel = _Channel(address, now, reports=self._highest_report)
@@ -257,7 +257,7 @@
             self._waste.repeated += 1
             return None
         channel.seen_seq = message.seq
-        channel.last_heard = now
+        channel.last_message_at = now
         channel.address = address
         self._forget_acked(channel, message.acked)
         return channel
@@ -278,44 +278,44 @@
     ) -> None:
         key = (batch.submission, task.index)
         if key in self._records:
-            self._tell(channel, key, revoke=False)
+            self._add_state(channel, key, revoke=False)
             return
-        if not stale and self._room <= 0:
-            self._wanting[home] = None
-        if stale or self._room <= 0:
+        if not stale and self._free_capacity <= 0:
+            self._refused_homes[home] = None
+        if stale or self._free_capacity <= 0:
             self._waste.refused += 1
-            _add(channel.refused, key)
-            channel.dirty = True
+            _add_ref(channel.refused, key)
+            channel.report_due = True
             return
         expires = now + batch.expires_ms / 1000
         self._records[key] = _Record(home, batch.service, task.payload, expires)
         self._queue.append(key)
 
-    def _tell(self, channel: _Channel, key: TaskKey, *, revoke: bool) -> None:
-        channel.dirty = True
+    def _add_state(self, channel: _Channel, key: TaskKey, *, revoke: bool) -> None:
+        channel.report_due = True
         record = self._records.get(key)
         if record is None:
-            _add(channel.refused, key)
+            _add_ref(channel.refused, key)
         elif record.phase is _Phase.ENDED:
             self._report_end(channel, key, record)
         elif record.phase is _Phase.RUNNING:
-            _add(channel.running, key)
+            _add_ref(channel.running, key)
         elif revoke:
             self._refuse_record(key)
         else:
-            _add(channel.queued, key)
+            _add_ref(channel.queued, key)
 
     def _refuse_record(self, key: TaskKey) -> None:
-        """Forget a task that has not started, and tell its home so."""
+        """Remove the record of a task that has not started, and report it as refused."""
         record = self._records.pop(key)
         if record.phase is _Phase.QUEUED:
             self._queue.remove(key)
         channel = self._channels.get(record.home)
         if channel is not None:
-            _add(channel.refused, key)
-            channel.dirty = True
+            _add_ref(channel.refused, key)
+            channel.report_due = True
 
-    def _pump(self, now: float) -> list[Effect]:
+    def _start_queued(self, now: float) -> list[Effect]:
         """Start queued tasks while slots are free."""
         effects: list[Effect] = []
         while self._queue and self._running < self._slots:
@@ -332,17 +332,17 @@
         channel.results.append(TaskResult(key[0], key[1], record.ok, record.payload))
         record.reported_in = channel.reports + 1
         channel.unacked.append(key)
-        channel.dirty = True
+        channel.report_due = True
 
     def _keep_result(self, key: TaskKey, record: _Record, payload: bytes) -> None:
-        """Keep a result until its home acknowledges it; the oldest go first when bytes run out."""
+        """Keep a result until it is acknowledged; the oldest beyond `result_bytes` are dropped."""
         record.payload = payload
-        self._kept_bytes += len(payload)
-        self._kept.append(key)
-        while self._kept_bytes > self._limits.result_bytes and len(self._kept) > 1:
-            oldest = self._records.get(self._kept.popleft())
+        self._result_bytes += len(payload)
+        self._result_order.append(key)
+        while self._result_bytes > self._limits.result_bytes and len(self._result_order) > 1:
+            oldest = self._records.get(self._result_order.popleft())
             if oldest is not None and oldest.phase is _Phase.ENDED:
-                self._kept_bytes -= len(oldest.payload)
+                self._result_bytes -= len(oldest.payload)
                 oldest.payload = b""
                 oldest.ok = None
 
@@ -359,18 +359,20 @@
     def _forget(self, key: TaskKey) -> None:
         record = self._records.pop(key)
         if record.phase is _Phase.ENDED:
-            self._kept_bytes -= len(record.payload)
+            self._result_bytes -= len(record.payload)
 
     def _sweep(self, now: float) -> None:
-        for key in [k for k, r in self._records.items() if _is_over(r, now)]:
+        for key in [k for k, r in self._records.items() if _is_expired(r, now)]:
             self._forget(key)
-        while self._kept and self._kept[0] not in self._records:
-            self._kept.popleft()
-        silent = [h for h, c in self._channels.items() if c.last_heard + RETENTION_SECONDS < now]
+        while self._result_order and self._result_order[0] not in self._records:
+            self._result_order.popleft()
+        silent = [
+            h for h, c in self._channels.items() if c.last_message_at + RETENTION_SECONDS < now
+        ]
         busy = {record.home for record in self._records.values()}
         for home in silent:
             if home not in busy:
-                # A home that comes back must not take our next report for one it has had.
+                # Keeps report numbers rising if the home's channel is created again.
                 self._highest_report = max(self._highest_report, self._channels[home].reports)
                 del self._channels[home]
 
@@ -384,26 +386,26 @@
             load=self.load,
             leaving=self.leaving,
             results=channel.results,
-            refused=_refs(channel.refused.items()),
-            running=_refs(channel.running.items()),
-            queued=_refs(channel.queued.items()),
+            refused=_task_refs(channel.refused.items()),
+            running=_task_refs(channel.running.items()),
+            queued=_task_refs(channel.queued.items()),
         )
         channel.results = []
         channel.refused = {}
         channel.running = {}
         channel.queued = {}
         channel.answers = 0
-        channel.dirty = False
+        channel.report_due = False
         return report
 
 
-def _add(groups: dict[str, list[int]], key: TaskKey) -> None:
+def _add_ref(groups: dict[str, list[int]], key: TaskKey) -> None:
     groups.setdefault(key[0], []).append(key[1])
 
 
-def _refs(groups: Iterable[tuple[str, list[int]]]) -> list[TaskRefs]:
+def _task_refs(groups: Iterable[tuple[str, list[int]]]) -> list[TaskRefs]:
     return [TaskRefs(submission, indexes) for submission, indexes in groups]
 
 
-def _is_over(record: _Record, now: float) -> bool:
+def _is_expired(record: _Record, now: float) -> bool:
     return record.phase is _Phase.ENDED and record.expires + RETENTION_SECONDS < now
--- a/testing/core/test_gate.py
+++ b/testing/core/test_gate.py
@@ -36,7 +36,7 @@
     return gate
 
 
-def test_starts_within_slots_and_queues_within_pipeline(gate: Gate) -> None:
+def test_starts_within_slots_and_queues_within_limit(gate: Gate) -> None:
     assert started(gate.assign(NOW, HOME, "h", assign(1, 0, 1, 2, 3))) == [0, 1]
     assert report(gate).refused == [TaskRefs("s", [3])]
     assert started(gate.finished(NOW, "s", 0, True, b"0")) == [2]
@@ -48,13 +48,13 @@
     assert report(gate).refused == [TaskRefs("s", [0])]
 
 
-def test_share_below_slots_is_strict(gate: Gate) -> None:
+def test_share_below_slots_limits_starts_and_queue(gate: Gate) -> None:
     gate.set_share(NOW, Share(2, 1, 1))
     assert started(gate.assign(NOW, HOME, "h", assign(1, 0, 1))) == [0]
     assert report(gate).refused == [TaskRefs("s", [1])]
 
 
-def test_older_share_is_not_followed(gate: Gate) -> None:
+def test_older_share_is_ignored(gate: Gate) -> None:
     gate.set_share(NOW, Share(5, 1, 1))
     gate.set_share(NOW, Share(4, 2, 2))
     assert gate.load.slots == 1
@@ -66,7 +66,7 @@
     assert started(gate.assign(NOW, HOME, "h", assign(seq, 1))) == []
 
 
-def test_homes_are_numbered_apart(gate: Gate) -> None:
+def test_message_numbers_are_separate_for_each_home(gate: Gate) -> None:
     gate.assign(NOW, HOME, "h", assign(9, 0))
     assert started(gate.assign(NOW, OTHER, "o", assign(1, 0, name="t"))) == [0]
 
@@ -79,18 +79,18 @@
     assert report(gate).results[0].payload == b"result"
 
 
-def test_revoked_task_never_starts_even_if_its_message_comes_later(gate: Gate) -> None:
+def test_revoked_task_never_starts_even_if_its_message_arrives_later(gate: Gate) -> None:
     gate.inquire(NOW, HOME, "h", inquire(2, 0, revoke=True))
     assert report(gate).refused == [TaskRefs("s", [0])]
     assert started(gate.assign(NOW, HOME, "h", assign(1, 0))) == []
 
 
-def test_revoke_takes_back_a_queued_task_and_leaves_a_running_one(gate: Gate) -> None:
+def test_revoke_refuses_a_queued_task_and_keeps_a_running_one(gate: Gate) -> None:
     gate.assign(NOW, HOME, "h", assign(1, 0, 1, 2))
     gate.inquire(NOW, HOME, "h", inquire(2, 1, 2, revoke=True))
-    told = report(gate)
-    assert told.running == [TaskRefs("s", [1])]
-    assert told.refused == [TaskRefs("s", [2])]
+    state = report(gate)
+    assert state.running == [TaskRefs("s", [1])]
+    assert state.refused == [TaskRefs("s", [2])]
     assert started(gate.finished(NOW, "s", 0, True, b"")) == []
 
 
@@ -112,19 +112,19 @@
     assert report(gate).refused == [TaskRefs("s", [0])]
 
 
-def test_leaving_gives_back_the_queue_and_refuses(gate: Gate) -> None:
+def test_leaving_returns_the_queue_and_refuses_new_tasks(gate: Gate) -> None:
     gate.assign(NOW, HOME, "h", assign(1, 0, 1, 2))
     gate.leave()
-    told = report(gate)
-    assert told.leaving
-    assert told.refused == [TaskRefs("s", [2])]
+    state = report(gate)
+    assert state.leaving
+    assert state.refused == [TaskRefs("s", [2])]
     assert started(gate.assign(NOW, HOME, "h", assign(2, 3))) == []
     gate.finished(NOW, "s", 0, True, b"")
     gate.finished(NOW, "s", 1, True, b"")
     assert gate.idle
 
 
-def test_lost_result_is_told_as_lost_once_bytes_run_out() -> None:
+def test_result_beyond_the_kept_bytes_is_reported_as_lost() -> None:
     gate = Gate(GateLimits(slots=2, result_bytes=10))
     gate.set_share(NOW, Share(1, 2, 2))
     gate.assign(NOW, HOME, "h", assign(1, 0, 1))
@@ -141,16 +141,16 @@
     assert TaskRefs("s", [2]) in report(gate).refused
 
 
-def test_refused_home_hears_of_room(gate: Gate) -> None:
+def test_refused_home_is_notified_of_free_capacity(gate: Gate) -> None:
     gate.assign(NOW, HOME, "h", assign(1, 0, 1, 2))
     gate.assign(NOW, OTHER, "o", assign(1, 0, name="t"))
     gate.flush(NOW)
     gate.finished(NOW, "s", 0, True, b"")
-    told = [send.to for send in gate.flush(NOW) if isinstance(send, Send)]
-    assert told == [HOME, OTHER]
+    notified = [send.to for send in gate.flush(NOW) if isinstance(send, Send)]
+    assert notified == [HOME, OTHER]
 
 
-def test_queue_of_an_ended_home_is_dropped(gate: Gate) -> None:
+def test_queued_tasks_of_an_ended_home_are_dropped(gate: Gate) -> None:
     gate.assign(NOW, HOME, "h", assign(1, 0, 1, 2))
     gate.home_ended(NOW, HOME)
     assert gate.load.queued == 0
--- a/testing/scenarios/test_planted_bugs.py
+++ b/testing/scenarios/test_planted_bugs.py
@@ -23,14 +23,14 @@
 
 def forget_what_was_seen(patch: pytest.MonkeyPatch) -> None:
     """A gate takes every copy of a message, however late."""
-    opened = Gate._open
+    accept_message = Gate._accept_message
 
-    def open_always(self: Gate, now: float, home: Incarnation, *rest: Any) -> _Channel | None:
+    def accept_always(self: Gate, now: float, home: Incarnation, *rest: Any) -> _Channel | None:
         if home in self._channels:
             self._channels[home].seen_seq = 0
-        return opened(self, now, home, *rest)
+        return accept_message(self, now, home, *rest)
 
-    patch.setattr(Gate, "_open", open_always)
+    patch.setattr(Gate, "_accept_message", accept_always)
 
 
 def forget_refusals(patch: pytest.MonkeyPatch) -> None:
