--- a/packages/paddleshunt-core/src/paddleshunt_core/home.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/home.py
@@ -1,8 +1,8 @@
-"""The home: accepts submissions whose id names it, places their tasks, and answers once.
+"""The home: accepts submissions whose id names it, places their tasks and answers their entries.
 
-A home keeps a record of every id it has seen until the id could no longer be accepted anyway, so
-that forgetting can't run anything twice. It gives a task to a second target only after the first
-one said that it did not and will not start it.
+A home keeps a record of each id until its window has passed, so that no submission runs twice. It
+sends a task to a second target only after the first one has reported that it did not start it and
+never will.
 """
 
 from collections.abc import Iterable
@@ -42,11 +42,11 @@
 from paddleshunt_core.records import Records, conflict_answer
 from paddleshunt_core.waste import Waste
 
-HOLD_MARGIN = 0.25
-"""Seconds before its deadline at which a job stops assigning and settles what started."""
+STOP_MARGIN = 0.25
+"""Seconds before its deadline at which a job stops assigning tasks and revokes queued ones."""
 
-REPORT_FRESH = 0.2
-"""Seconds for which a gate's own report of its load counts more than an entry's word."""
+REPORT_FRESH_SECONDS = 0.2
+"""Seconds for which a gate's report of its load takes precedence over an entry's."""
 
 
 @final
@@ -89,10 +89,8 @@
             "links": {str(link.incarnation): link.describe() for link in self._links.values()},
         }
 
-    # Callers' side.
-
     def submit(self, now: float, entry: Incarnation, address: str, message: Submit) -> list[Effect]:
-        """Accept a submission, attach to the running one, or answer from the record."""
+        """Accept a submission, join a running one with the same id, or answer from the record."""
         name = message.submission
         job = self._jobs.get(name)
         if job is not None:
@@ -106,7 +104,7 @@
         return self._accept(now, entry, address, message)
 
     def query(self, now: float, entry: Incarnation, address: str, message: Query) -> list[Effect]:
-        """Tell what is known of a submission, and answer the entry again when there is more."""
+        """Answer with a submission's state; the outcome of a running one follows once settled."""
         name = message.submission
         job = self._jobs.get(name)
         if job is not None:
@@ -123,10 +121,8 @@
         )
         return [Send(entry, address, body)]
 
-    # Targets' side.
-
     def update_peers(self, now: float, peers: Iterable[PeerInfo], closed_sites: set[str]) -> None:
-        """Take the targets of the service as an entry tells them."""
+        """Update the service's targets and closed sites from an entry's view."""
         self._closed_sites = closed_sites
         named: set[Incarnation] = set()
         for peer in peers:
@@ -134,7 +130,7 @@
             link = self._link(now, peer)
             link.suspect = peer.suspect
             link.leaving = peer.leaving or link.leaving
-            if now - link.load_at > REPORT_FRESH or peer.load.slots != link.load.slots:
+            if now - link.load_at > REPORT_FRESH_SECONDS or peer.load.slots != link.load.slots:
                 link.update_load(now, peer.load, peer.clock_ms)
                 self._placement.record_load(link)
         for incarnation, link in list(self._links.items()):
@@ -144,7 +140,7 @@
                 link.suspect = True
 
     def target_ended(self, now: float, incarnation: Incarnation) -> list[Effect]:
-        """Give up on the tasks at a target that is known to have ended."""
+        """Mark the tasks at a target that has ended as lost."""
         link = self._links.pop(incarnation, None)
         if link is None:
             return []
@@ -157,20 +153,20 @@
         return effects
 
     def report(self, now: float, gate: Incarnation, message: Report) -> list[Effect]:
-        """Take what a gate says of this home's tasks."""
+        """Process a gate's report on this home's tasks."""
         link = self._links.get(gate)
         if link is None or not link.accept_report(message):
             self._waste.repeated += 1
             return []
         touched: dict[str, Job] = {}
         for result in message.results:
-            self._take_result(now, link, result, touched)
+            self._record_result(now, link, result, touched)
         for refs in message.refused:
             for index in refs.indexes:
-                self._take_back(link, (refs.submission, index), message.seen_seq, touched)
+                self._requeue(link, (refs.submission, index), message.seen_seq, touched)
         for refs in message.running:
             for index in refs.indexes:
-                self._take_started(link, (refs.submission, index), touched)
+                self._record_started(link, (refs.submission, index), touched)
         link.update_load_from(now, message, self._placement.pipeline)
         self._placement.record_load(link)
         if message.refused and not message.answers:
@@ -183,27 +179,25 @@
         return effects
 
     def undelivered(self, now: float, gate: Incarnation, message: Body) -> list[Effect]:
-        """Take back tasks of a message that provably never left this process."""
+        """Requeue the tasks of a message that was certainly never sent."""
         link = self._links.get(gate)
         if link is None or not isinstance(message, Assign):
             return []
         touched: dict[str, Job] = {}
         for batch in message.batches:
             for task in batch.tasks:
-                self._take_back(link, (batch.submission, task.index), message.seq, touched)
+                self._requeue(link, (batch.submission, task.index), message.seq, touched)
         link.full_until = now + FULL_SECONDS
         effects: list[Effect] = []
         for job in touched.values():
             effects += self._settle(now, job)
         return effects
 
-    # Time.
-
     def tick(self, now: float) -> list[Effect]:
-        """Act on deadlines, ask about slow tasks and forget ids whose window has passed."""
+        """Enforce deadlines, inquire about slow tasks and remove records of expired ids."""
         effects = self._shed(now)
         for job in list(self._jobs.values()):
-            if now >= job.deadline - HOLD_MARGIN and not job.stopping:
+            if now >= job.deadline - STOP_MARGIN and not job.stopping:
                 effects += self._stop(now, job, "deadline")
             if now >= job.deadline:
                 effects += self._settle(now, job, at_deadline=True)
@@ -213,7 +207,7 @@
         return effects
 
     def flush(self, now: float) -> list[Effect]:
-        """Place waiting tasks, and return one message for each target that gets some."""
+        """Place waiting tasks, and return one message for each target that is assigned some."""
         if not any(job.waiting for job in self._jobs.values()):
             return []
         number = self._inquiries.next_number()
@@ -252,36 +246,36 @@
             payloads=message.tasks,
             waiters={entry: address},
         )
-        refusal = self._overload(now, len(message.tasks), job.deadline)
+        refusal = self._overload_refusal(now, len(message.tasks), job.deadline)
         self._jobs[job.submission] = job
         if refusal is not None:
             return self._close(now, job, refusal)
         return [Log("accepted", job.submission, {"tasks": len(job.payloads), "entry": entry.host})]
 
-    def _overload(self, now: float, tasks: int, deadline: float) -> NotRun | None:
-        """Return a refusal if the tasks can't be expected to end before the deadline."""
+    def _overload_refusal(self, now: float, tasks: int, deadline: float) -> NotRun | None:
+        """Return a refusal if the tasks aren't expected to end before the deadline."""
         if self.leaving:
             return NotRun("the home is leaving", 0)
         waiting = self._forecast.waiting_tasks()
         if waiting + tasks > self._limits.max_waiting_tasks:
             return NotRun("too many tasks wait", int(self._forecast.wait(now, waiting) * 1000))
         wait = self._forecast.wait(now, waiting + tasks)
-        if now + wait > deadline - HOLD_MARGIN:
+        if now + wait > deadline - STOP_MARGIN:
             return NotRun("overloaded", int(wait * 500))
         return None
 
     def _shed(self, now: float) -> list[Effect]:
-        """Refuse now the held jobs that can't be expected to end in time.
+        """Stop the jobs that aren't expected to end in time and have no task assigned yet.
 
-        They are in the order in which their tasks are placed; only those of which nothing has
-        been sent can be refused. A refusal makes room for the jobs behind it.
+        Jobs are checked in the order in which their tasks are placed, as each one that is stopped
+        shortens the wait of those behind it.
         """
         effects: list[Effect] = []
         ahead = 0
         for job in list(self._jobs.values()):
-            untouched = len(job.waiting) == len(job.payloads)
+            unassigned = len(job.waiting) == len(job.payloads)
             end = now + self._forecast.wait(now, ahead + len(job.waiting))
-            if untouched and end > job.deadline - HOLD_MARGIN:
+            if unassigned and end > job.deadline - STOP_MARGIN:
                 effects += self._stop(now, job, "overloaded")
             ahead += len(job.waiting)
         return effects
@@ -294,7 +288,7 @@
             self._links[peer.incarnation] = link
         return link
 
-    def _take_result(
+    def _record_result(
         self, now: float, link: Link, result: TaskResult, touched: dict[str, Job]
     ) -> None:
         out = link.outstanding.pop((result.submission, result.index), None)
@@ -309,8 +303,8 @@
         self._forecast.learn(now - out.sent)
         job.finish(result.index, ok=result.ok, payload=result.payload)
 
-    def _take_back(self, link: Link, key: TaskKey, seen_seq: int, touched: dict[str, Job]) -> None:
-        """Place a refused task anew, unless it was sent again after what the gate speaks of."""
+    def _requeue(self, link: Link, key: TaskKey, seen_seq: int, touched: dict[str, Job]) -> None:
+        """Requeue a refused task, unless it was sent again in a message the gate hasn't seen."""
         out = link.outstanding.get(key)
         if out is None or out.seq > seen_seq:
             return
@@ -320,7 +314,7 @@
             job.put_back(key[1])
             touched[job.submission] = job
 
-    def _take_started(self, link: Link, key: TaskKey, touched: dict[str, Job]) -> None:
+    def _record_started(self, link: Link, key: TaskKey, touched: dict[str, Job]) -> None:
         out = link.outstanding.get(key)
         job = self._jobs.get(key[0])
         if out is not None and job is not None:
@@ -329,9 +323,9 @@
             touched[job.submission] = job
 
     def _place(self, now: float, plan: Plan, job: Job, number: int) -> bool:
-        """Assign the job's waiting tasks; return False when no target has room.
+        """Assign the job's waiting tasks; return False when no target can take more.
 
-        `number` is that of the messages that will carry them.
+        `number` is the sequence number of the messages that will carry them.
         """
         while job.waiting:
             link = plan.next_target()
@@ -348,7 +342,7 @@
         return True
 
     def _stop(self, now: float, job: Job, reason: str) -> list[Effect]:
-        """Assign no more of the job, and revoke what may not have started."""
+        """Stop assigning the job's tasks, and revoke those that may not have started."""
         job.stop(reason)
         effects = self._settle(now, job)
         if job.submission in self._jobs:
@@ -356,7 +350,7 @@
         return effects
 
     def _revoke_queued(self, now: float) -> list[Effect]:
-        """Take back tasks that wait in a target's queue while another one has free slots."""
+        """Revoke tasks that are queued at one target while another one has free slots."""
         stuck = [link for link in self._links.values() if stuck_tasks(now, link)]
         if not stuck:
             return []
@@ -364,10 +358,10 @@
         return self._inquiries.revoke_queued(now, stuck) if plan.free_slots else []
 
     def _settle(self, now: float, job: Job, *, at_deadline: bool = False) -> list[Effect]:
-        """Answer the job if its outcome is settled."""
+        """Answer the job's entries if its outcome is settled."""
         if job.submission not in self._jobs:
             return []
-        # Only a job that stops is told when to come back, and only then is it worth working out.
+        # Only outcomes of stopped jobs carry a retry delay.
         retry_after = (
             self._forecast.wait(now, self._forecast.waiting_tasks()) if job.stopping else 0.0
         )
@@ -388,13 +382,13 @@
                 del link.outstanding[key]
 
     def _close(self, now: float, job: Job, outcome: Outcome) -> list[Effect]:
-        """Record the outcome and answer all who wait for it."""
+        """Record the outcome and send it to all entries that wait for it."""
         del self._jobs[job.submission]
         answer = Answer(job.submission, job.digest, outcome, job.repeatable)
         self._records.close(answer, self._ids.forget_at(now, job.submission))
-        kind = outcome_tag(outcome)
+        tag = outcome_tag(outcome)
         results = len(outcome.results) if isinstance(outcome, Complete) else 0
         effects: list[Effect] = [
             Send(entry, address, answer) for entry, address in job.waiters.items()
         ]
-        return [*effects, Log("answered", job.submission, {"outcome": kind, "results": results})]
+        return [*effects, Log("answered", job.submission, {"outcome": tag, "results": results})]
--- a/testing/core/test_home.py
+++ b/testing/core/test_home.py
@@ -1,4 +1,4 @@
-"""The home's rules that the scenarios don't reach; most of its behaviour is shown there."""
+"""Rules of the home that the scenarios don't cover."""
 
 from random import Random
 
@@ -97,7 +97,7 @@
     assert home.describe()["waiting_tasks"] == 1
 
 
-def test_refusal_of_an_earlier_message_does_not_free_a_task_sent_since(
+def test_refusal_of_an_earlier_message_does_not_requeue_a_task_sent_later(
     home: Home, rng: Random
 ) -> None:
     message = submit(rng, 1)
@@ -109,12 +109,12 @@
     assert home.describe()["waiting_tasks"] == 0
 
 
-def test_missing_report_is_asked_for(home: Home, rng: Random) -> None:
+def test_missing_report_causes_an_inquiry(home: Home, rng: Random) -> None:
     home.submit(NOW, ENTRY, "e", submit(rng, 1))
     home.flush(NOW)
-    (asked,) = bodies(home.report(NOW, GATE, report(2, 9)))
-    assert isinstance(asked, Inquire)
-    assert not asked.revoke
+    (inquiry,) = bodies(home.report(NOW, GATE, report(2, 9)))
+    assert isinstance(inquiry, Inquire)
+    assert not inquiry.revoke
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
     assert isinstance(outcome(home.submit(NOW, ENTRY, "e", message)), NotAccepted)
 
 
-def test_ids_are_kept_until_their_window_has_passed(home: Home, rng: Random) -> None:
+def test_outcomes_are_kept_until_the_id_window_has_passed(home: Home, rng: Random) -> None:
     message = submit(rng)
     home.leaving = True
     assert isinstance(outcome(home.submit(NOW, ENTRY, "e", message)), NotRun)
@@ -157,7 +157,7 @@
     assert isinstance(outcome(home.submit(NOW, ENTRY, "e", submit(rng, 1))), NotAccepted)
 
 
-def test_query_tells_absent_and_running(home: Home, rng: Random) -> None:
+def test_query_is_answered_with_absent_or_running(home: Home, rng: Random) -> None:
     message = submit(rng)
     name = message.submission
     assert bodies(home.query(NOW, ENTRY, "e", Query(name))) == [Absent(name, b"")]
@@ -165,7 +165,7 @@
     assert bodies(home.query(NOW, ENTRY, "e", Query(name))) == [Running(name, b"")]
 
 
-def test_message_that_stayed_here_is_placed_again(home: Home, rng: Random) -> None:
+def test_tasks_of_an_unsent_message_are_placed_again(home: Home, rng: Random) -> None:
     home.submit(NOW, ENTRY, "e", submit(rng, 2))
     (assign,) = bodies(home.flush(NOW))
     home.undelivered(NOW, GATE, assign)
