--- a/packages/paddleshunt-core/src/paddleshunt_core/entry.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/entry.py
@@ -1,4 +1,4 @@
-"""One entry process: takes callers' requests, and relays configuration and membership."""
+"""One entry process: forwards callers' requests, and distributes configuration and membership."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -32,23 +32,23 @@
 from paddleshunt_core.table import TableController, TableDocument
 from paddleshunt_core.views import ENDED_SENT, Views
 
-NEWS_PER_EXCHANGE = 16
-"""Targets an entry tells another entry of in one message, those with changes first."""
+UPDATES_PER_EXCHANGE = 16
+"""Maximum number of targets in a regular exchange, unless more of them have changed."""
 
 EXCHANGE_EVERY = 2
-"""Heartbeat intervals between two regular exchanges; changes are told at once."""
+"""Heartbeat intervals between two regular exchanges; changes are sent at once."""
 
 HEARTBEATS_PER_SECOND = 60.0
-"""Heartbeats that an entry wants to take; with more targets it asks for longer intervals."""
+"""Rate of heartbeats above which an entry lengthens the interval of its targets."""
 
 RETRY_MS = 1000
-"""When callers are told to come back if nothing better is known."""
+"""Milliseconds after which callers should retry when no better estimate is available."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """Who an entry is, and the heartbeat interval (seconds) it tells its targets."""
+    """An entry's identity, address and minimum heartbeat interval of its targets (seconds)."""
 
     me: Incarnation
     address: str
@@ -58,7 +58,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Minted:
-    """A new id and the home that it names."""
+    """A new submission id and the home that it names."""
 
     submission: str
     home: Incarnation
@@ -66,7 +66,7 @@
 
 @final
 @dataclass(slots=True)
-class Tally:
+class ServiceCounts:
     """Counts of one service since this entry started: ids minted by site, answers by outcome."""
 
     minted: Counter[str] = field(default_factory=Counter)
@@ -76,18 +76,19 @@
 @final
 @dataclass(slots=True)
 class _Peer:
-    """Another entry: when it was last heard and what it follows."""
+    """State of the exchange with another entry. Times are in this entry's seconds."""
 
     address: str
-    heard: float
+    last_received: float
     table_revision: int
-    told: float = 0.0
-    turn: int = 0
+    last_sent: float = 0.0
+    next_unchanged: int = 0
+    """Index of the next unchanged target to send."""
 
 
 @final
 class Entry:
-    """State of one entry. Feed it requests, messages, store news and ticks."""
+    """State of one entry. Feed it requests, messages, updates from the store and ticks."""
 
     def __init__(self, settings: EntrySettings, rng: Random) -> None:
         self._settings = settings
@@ -101,11 +102,9 @@
         self._divider = Divider(self.members, self.table)
         self._peers: dict[str, _Peer] = {}
         self._next_exchange = 0.0
-        self._tallies: dict[str, Tally] = {}
+        self._counts: dict[str, ServiceCounts] = {}
         self.leaving = False
 
-    # Callers' side.
-
     def mint(self, now: float, service: str) -> Minted | NotAccepted:
         """Choose a home for a new submission of `service` and return an id for it."""
         if self.leaving:
@@ -114,7 +113,7 @@
         home = self._router.choose_home(now, service, rows, self.members)
         if isinstance(home, NoHome):
             return NotAccepted(home.reason, RETRY_MS)
-        self._tally(service).minted[home.site] += 1
+        self._counts_of(service).minted[home.site] += 1
         text = mint(home.incarnation, home.clock_ms(now), self._rng)
         return Minted(text, home.incarnation)
 
@@ -128,17 +127,15 @@
         return self.calls.submit(now, caller, home.incarnation, address, message)
 
     def look_up(self, now: float, caller: int, submission: str) -> list[Effect]:
-        """Ask the home that the id names for the submission's state."""
+        """Query the home that the id names for the submission's state."""
         home = self._home_of(submission)
         if not isinstance(home, Member):
             return [Reply(caller, Answer(submission, b"", home))]
         address = home.heartbeat.address
         return self.calls.look_up(now, caller, home.incarnation, address, submission)
 
-    # Peers' side.
-
     def handle(self, now: float, envelope: Envelope) -> list[Effect]:
-        """Take a message from a peer."""
+        """Process a message from a peer."""
         match envelope.body:
             case Answer() as body:
                 return self._answered(body)
@@ -156,19 +153,17 @@
                 return [Log("message_ignored", fields={"sender": str(envelope.sender)})]
 
     def undelivered(self, to: Incarnation, body: Body) -> list[Effect]:
-        """Take back a message that provably never left this process."""
+        """Handle a message that was certainly never sent."""
         return self.calls.undelivered(to, body)
 
-    # Platform's side.
-
     def update_hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
-        """Take the platform's list of hosts."""
+        """Update the members from the platform's list of hosts."""
         if not self.members.update_hosts(now, hosts):
             return []
-        return self._tell_targets(now)
+        return self._send_views(now)
 
     def table_from_store(self, now: float, document: TableDocument | None) -> list[Effect]:
-        """Take the table that the store holds (None: it holds none)."""
+        """Adopt the table in the store, if it is newer (None: the store has none)."""
         adopted = self.table.adopt_from_store(document)
         if self.table.store_went_back_to is not None:
             fields = {"store": self.table.store_went_back_to, "in_force": self.table.revision}
@@ -176,28 +171,26 @@
         return self._table_adopted(now) if adopted else []
 
     def receive_table(self, now: float, document: TableDocument) -> list[Effect]:
-        """Take a table that the operators' command line, or another entry, hands over."""
+        """Adopt a table from the operators' command line or another entry, if it is newer."""
         return self._table_adopted(now) if self.table.adopt(document) else []
 
     def receive_allotment(self, now: float, allotment: Allotment) -> list[Effect]:
-        """Take a row's allotment from the store or from another entry."""
+        """Adopt a row's allotment from the store or another entry, if it is newer."""
         if not self._divider.adopt(allotment):
             return []
         members = self.members.of_service(allotment.service)
         return [self._view(now, m) for m in members if m.site == allotment.site and not m.via]
 
-    # Time.
-
     def tick(self, now: float) -> list[Effect]:
-        """Act on the passing of time."""
+        """Perform what is due: call timeouts, allotment writes and regular exchanges."""
         effects = self.calls.tick(now, self.members.has_ended)
         effects += self._divider.tick(now, self._rank(now))
         if now >= self._next_exchange:
-            effects += self._regular_news(now)
+            effects += self._periodic_updates(now)
         return effects
 
     def request_state(self, now: float) -> list[Effect]:
-        """Ask all other entries for table, members and allotments, as a starting entry does."""
+        """Request table, members and allotments from all other entries, on start."""
         return [self._exchange_to(now, h.host, h.peers, reply=True) for h in self._other_entries()]
 
     def describe(self, now: float) -> dict[str, object]:
@@ -209,13 +202,13 @@
             "calls": len(self.calls),
             "leaving": self.leaving,
             "tallies": {
-                service: {"minted": tally.minted, "answers": tally.answers}
-                for service, tally in self._tallies.items()
+                service: {"minted": counts.minted, "answers": counts.answers}
+                for service, counts in self._counts.items()
             },
             "entries": {
                 host: {
                     "table_revision": peer.table_revision,
-                    "silent_s": round(now - peer.heard, 1),
+                    "silent_s": round(now - peer.last_received, 1),
                 }
                 for host, peer in self._peers.items()
             },
@@ -238,17 +231,17 @@
             "silent_s": round(now - member.sent, 1),
         }
 
-    def _tally(self, service: str) -> Tally:
-        return self._tallies.setdefault(service, Tally())
+    def _counts_of(self, service: str) -> ServiceCounts:
+        return self._counts.setdefault(service, ServiceCounts())
 
     def _answered(self, body: Answer) -> list[Effect]:
         service = self.calls.service_of(body)
         if service:
-            self._tally(service).answers[outcome_tag(body.outcome)] += 1
+            self._counts_of(service).answers[outcome_tag(body.outcome)] += 1
         return self.calls.answered(body)
 
     def _home_of(self, submission: str) -> Member | Outcome:
-        """Return the member that the id names, or what a caller can be told without it."""
+        """Return the member that the id names, or the outcome for the caller if it isn't known."""
         parsed = parse_id(submission)
         if isinstance(parsed, InvalidId):
             return NotAccepted(f"no submission id: {parsed.reason}", 0)
@@ -259,21 +252,21 @@
             return Unknown(f"its home on {parsed.home.host} has ended")
         return NotAccepted("its home is not known to this entry", RETRY_MS)
 
-    def _regular_news(self, now: float) -> list[Effect]:
-        """Pass on what was heard, and let targets know whom to avoid."""
+    def _periodic_updates(self, now: float) -> list[Effect]:
+        """Send members to other entries, and changes in suspicion to the targets concerned."""
         direct = len(self.members.direct())
-        least = self._settings.heartbeat_seconds
-        self.members.heartbeat_seconds = max(least, direct / HEARTBEATS_PER_SECOND)
+        min_seconds = self._settings.heartbeat_seconds
+        self.members.heartbeat_seconds = max(min_seconds, direct / HEARTBEATS_PER_SECOND)
         self._next_exchange = now + self.members.heartbeat_seconds * EXCHANGE_EVERY
         effects: list[Effect] = []
         changed = {member.service for member in self.members.suspicion_changes(now)}
         for service in sorted(changed):
-            effects += self._tell_targets(now, service)
-        return effects + self._tell_entries(now)
+            effects += self._send_views(now, service)
+        return effects + self._send_exchanges(now)
 
     def _heartbeat(self, now: float, sender: Incarnation, body: Heartbeat) -> list[Effect]:
         if self.members.record_heartbeat(now, sender, body, 0.0):
-            return [*self._tell_targets(now, body.service), *self._tell_entries(now)]
+            return [*self._send_views(now, body.service), *self._send_exchanges(now)]
         member = self.members.find(sender)
         return [self._view(now, member)] if member else []
 
@@ -284,7 +277,7 @@
         if peer is None:
             peer = self._peers[sender.host] = _Peer(address, now, body.table_revision)
         peer.address = address
-        peer.heard = now
+        peer.last_received = now
         peer.table_revision = body.table_revision
         self.members.record_entry(now, sender.host)
         effects: list[Effect] = []
@@ -293,48 +286,46 @@
             effects += self.receive_table(now, document)
         for raw in body.allotments:
             effects += self.receive_allotment(now, msgspec.json.decode(raw, type=Allotment))
-        effects += self._take_news(now, sender.host, body)
+        effects += self._receive_updates(now, sender.host, body)
         if body.reply or body.table_revision < self.table.revision:
             effects.append(self._exchange_to(now, sender.host, address, full=True))
         return effects
 
-    def _take_news(self, now: float, entry: str, body: Exchange) -> list[Effect]:
+    def _receive_updates(self, now: float, entry: str, body: Exchange) -> list[Effect]:
         urgent = False
         for incarnation in body.ended:
             urgent |= self.members.end(incarnation)
-        for news in body.members:
+        for update in body.members:
             urgent |= self.members.record_heartbeat(
                 now,
-                news.incarnation,
-                news.heartbeat,
-                news.age_ms / 1000,
+                update.incarnation,
+                update.heartbeat,
+                update.age_ms / 1000,
                 entry,
-                suspect=news.suspect,
+                suspect=update.suspect,
             )
-        return self._tell_targets(now) if urgent else []
+        return self._send_views(now) if urgent else []
 
     def _ended(self, now: float, incarnation: Incarnation) -> list[Effect]:
         if not self.members.end(incarnation):
             return []
-        return [*self._tell_targets(now), *self._tell_entries(now)]
+        return [*self._send_views(now), *self._send_exchanges(now)]
 
     def _table_adopted(self, now: float) -> list[Effect]:
         self.members.stale_allotments.update(
             (row.service, row.site) for row in self.table.document.rows
         )
         log = Log("table_adopted", fields={"revision": self.table.revision})
-        told = [
+        exchanges = [
             self._exchange_to(now, host, peer.address, full=True)
             for host, peer in self._peers.items()
         ]
-        return [log, *told, *self._tell_targets(now)]
-
-    # Relaying.
+        return [log, *exchanges, *self._send_views(now)]
 
     def _other_entries(self) -> list[Host]:
         return [h for h in self.members.hosts_of(Role.ENTRY) if h.host != self._me.host]
 
-    def _tell_entries(self, now: float) -> list[Effect]:
+    def _send_exchanges(self, now: float) -> list[Effect]:
         return [self._exchange_to(now, host.host, host.peers) for host in self._other_entries()]
 
     def _exchange_to(
@@ -343,7 +334,7 @@
         peer = self._peers.get(host)
         body = Exchange(
             table_revision=self.table.revision,
-            members=self._news(now, peer, full=full),
+            members=self._member_updates(now, peer, full=full),
             ended=self.members.ended[-ENDED_SENT:],
             reply=reply,
             table=msgspec.json.encode(self.table.document) if full else b"",
@@ -351,22 +342,22 @@
         )
         return Send(Incarnation(host, ""), address, body)
 
-    def _news(self, now: float, peer: _Peer | None, *, full: bool) -> list[MemberUpdate]:
-        """Return news of targets heard here: all changes, and some of the others in turn."""
+    def _member_updates(self, now: float, peer: _Peer | None, *, full: bool) -> list[MemberUpdate]:
+        """Return updates of direct members: all changed ones, and some others in rotation."""
         if full or peer is None:
             return [self.members.member_update(member, now) for member in self.members.all()]
         direct = self.members.direct()
-        changed = [member for member in direct if member.changed >= peer.told]
-        rest = [member for member in direct if member.changed < peer.told]
-        room = min(len(rest), max(0, NEWS_PER_EXCHANGE - len(changed)))
-        start = peer.turn % len(rest) if rest else 0
-        in_turn = [rest[(start + n) % len(rest)] for n in range(room)]
-        peer.turn = start + room
-        peer.told = now
-        return [self.members.member_update(member, now) for member in (*changed, *in_turn)]
-
-    def _tell_targets(self, now: float, service: str | None = None) -> list[Effect]:
-        """Send views to the targets that are heard here, of one service or of all."""
+        changed = [member for member in direct if member.changed >= peer.last_sent]
+        rest = [member for member in direct if member.changed < peer.last_sent]
+        count = min(len(rest), max(0, UPDATES_PER_EXCHANGE - len(changed)))
+        start = peer.next_unchanged % len(rest) if rest else 0
+        rotated = [rest[(start + n) % len(rest)] for n in range(count)]
+        peer.next_unchanged = start + count
+        peer.last_sent = now
+        return [self.members.member_update(member, now) for member in (*changed, *rotated)]
+
+    def _send_views(self, now: float, service: str | None = None) -> list[Effect]:
+        """Send views to the targets that heartbeat to this entry, of one service or of all."""
         chosen = self.members.direct()
         return [self._view(now, m) for m in chosen if service is None or m.service == service]
 
@@ -377,7 +368,7 @@
         return self._views.view(now, member, sorted(entries), allotment)
 
     def _rank(self, now: float) -> int:
-        """Return how many live entries come before this one."""
-        silent = 3 * self._settings.heartbeat_seconds
-        live = [host for host, peer in self._peers.items() if now - peer.heard < silent]
+        """Return how many live entries sort before this one."""
+        timeout = 3 * self._settings.heartbeat_seconds
+        live = [host for host, peer in self._peers.items() if now - peer.last_received < timeout]
         return len([host for host in live if host < self._me.host])
