--- a/packages/paddleshunt-core/src/paddleshunt_core/target.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/target.py
@@ -1,4 +1,4 @@
-"""One target process: home of submissions, gate of its runner, and a member that heartbeats."""
+"""One target process: a home of submissions and the gate of its runner; sends heartbeats."""
 
 from dataclasses import dataclass
 from random import Random
@@ -32,19 +32,19 @@
 from paddleshunt_core.waste import Waste
 
 HEARTBEAT_ENTRIES = 2
-"""Entries that a target sends its regular heartbeats to."""
+"""Number of entries that a target sends its regular heartbeats to."""
 
 FIRST_HEARTBEAT = 0.2
-"""Seconds between heartbeats until an entry has answered."""
+"""Seconds between heartbeats until an entry has sent a view with another interval."""
 
-LINGER = 2.0
-"""Seconds a leaving target without work stays to answer callers that ask again."""
+LINGER_SECONDS = 2.0
+"""Seconds that a leaving target without work stays, to answer repeated requests."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class TargetSettings:
-    """Who a target is and what bounds it."""
+    """A target's identity, address, place and limits."""
 
     me: Incarnation
     address: str
@@ -71,31 +71,31 @@
         self._rows: list[Row] = []
         self._table_revision = 0
         self._view_digest = 0
-        self._heard_entry_at: float | None = None
+        self._last_view_at: float | None = None
         self._heartbeat_seconds = FIRST_HEARTBEAT
         self._next_heartbeat = 0.0
         self._leave_at: float | None = None
 
     @property
     def load(self) -> Load:
-        """The gate's load, with the jobs this target is home of."""
+        """The gate's load, and the number of the home's jobs."""
         load = self.gate.load
         return Load(load.slots, load.running, load.queued, self.home.jobs)
 
     @property
     def leaving(self) -> bool:
-        """Whether the target is on its way out."""
+        """Whether the target has begun to leave."""
         return self.gate.leaving
 
     @property
     def idle(self) -> bool:
-        """Whether it has neither tasks nor jobs."""
+        """Whether the target has neither tasks nor jobs."""
         return self.gate.idle and self.home.jobs == 0
 
     def needs_entries(self, now: float) -> bool:
-        """Whether no entry was heard lately, so that the platform should be asked for some."""
-        heard = self._heard_entry_at
-        return heard is None or now - heard > 5 * max(1.0, self._heartbeat_seconds)
+        """Whether no entry has sent a view lately, so the platform should be asked for entries."""
+        last = self._last_view_at
+        return last is None or now - last > 5 * max(1.0, self._heartbeat_seconds)
 
     def describe(self) -> dict[str, object]:
         """Return a summary of the state for a dump."""
@@ -112,14 +112,14 @@
         }
 
     def add_listed_entries(self, entries: list[EntryInfo]) -> None:
-        """Take entries from the platform's list, while no entry has been heard."""
+        """Add entries from the platform's list, as long as no entry has sent a view."""
         for entry in entries:
             self._entries[entry.host] = entry.address
 
     def handle(self, now: float, envelope: Envelope) -> list[Effect]:
-        """Take a message from a peer."""
+        """Process a message from a peer."""
         sender, address = envelope.sender, envelope.address
-        if envelope.to != self._me and not _meant_for_any(envelope, self._me):
+        if envelope.to != self._me and not _is_for_any_incarnation(envelope, self._me):
             return self._misdirected(envelope)
         match envelope.body:
             case Submit() as body:
@@ -140,11 +140,11 @@
                 return [Log("message_ignored", fields={"sender": str(sender)})]
 
     def undelivered(self, now: float, to: Incarnation, body: Body) -> list[Effect]:
-        """Take back a message that provably never left this process."""
+        """Handle a message that was certainly never sent."""
         return self.home.undelivered(now, to, body)
 
     def leave(self, now: float) -> list[Effect]:
-        """Begin to leave: tell all entries, refuse new work, finish what runs."""
+        """Begin to leave: refuse new work, finish running tasks, and notify all entries."""
         if self.leaving:
             return []
         self.home.leaving = True
@@ -152,27 +152,27 @@
         return [Log("leaving"), *self._heartbeats(now, everyone=True)]
 
     def may_exit(self, now: float) -> bool:
-        """Whether a leaving target has nothing left to finish."""
+        """Whether a leaving target has been without work for `LINGER_SECONDS`."""
         if not (self.leaving and self.gate.idle and self.home.jobs == 0):
             self._leave_at = None
             return False
         if self._leave_at is None:
-            self._leave_at = now + LINGER
+            self._leave_at = now + LINGER_SECONDS
         return now >= self._leave_at
 
     def final_heartbeats(self, now: float) -> list[Effect]:
-        """Tell all entries that this incarnation ends now."""
+        """Return heartbeats that tell all entries that this incarnation has ended."""
         return self._heartbeats(now, everyone=True, ended=True)
 
     def tick(self, now: float) -> list[Effect]:
-        """Act on the passing of time."""
+        """Perform what is due at the home and the gate, and send regular heartbeats."""
         effects = self.home.tick(now) + self.gate.tick(now)
         if now >= self._next_heartbeat:
             effects += self._heartbeats(now, everyone=self.needs_entries(now))
         return effects
 
     def flush(self, now: float) -> list[Effect]:
-        """Return the messages that the inputs since the last flush call for."""
+        """Return the messages that result from the inputs since the last flush."""
         return self.home.flush(now) + self.gate.flush(now)
 
     def _misdirected(self, envelope: Envelope) -> list[Effect]:
@@ -181,36 +181,36 @@
         return [Send(envelope.sender, envelope.address, Misdirected(envelope.to))]
 
     def _view(self, now: float, view: View) -> list[Effect]:
-        self._heard_entry_at = now
+        self._last_view_at = now
         self._heartbeat_seconds = view.heartbeat_ms / 1000
         effects: list[Effect] = []
         for incarnation in view.ended:
             effects += self._ended(now, incarnation)
         if view.snapshot is not None:
             self._view_digest = view.digest
-            effects += self._take_picture(now, view.snapshot, view.table_revision)
+            effects += self._adopt_snapshot(now, view.snapshot, view.table_revision)
         elif view.digest == self._view_digest:
             effects += self._adopt_table(view.table_revision, self._rows)
         if view.share is not None:
             effects += self.gate.set_share(now, view.share)
         if any(isinstance(effect, Log) for effect in effects):
-            # Something came into force: let the entries know, who may wait for it.
+            # A table or share came into force; a heartbeat reports its revision to the entries.
             effects += self._heartbeats(now, everyone=False)
         return effects
 
     def _adopt_table(self, revision: int, rows: list[Row]) -> list[Effect]:
-        """Follow the rows of a revision, if it is higher than the one in force."""
+        """Adopt the rows of a revision, if it is higher than the one in force."""
         if revision <= self._table_revision:
             return []
         self._table_revision = revision
         self._rows = rows
         return [Log("table_adopted", fields={"revision": revision})]
 
-    def _take_picture(self, now: float, picture: ServiceSnapshot, revision: int) -> list[Effect]:
-        self._entries = {entry.host: entry.address for entry in picture.entries}
-        effects = self._adopt_table(revision, picture.rows)
+    def _adopt_snapshot(self, now: float, snapshot: ServiceSnapshot, revision: int) -> list[Effect]:
+        self._entries = {entry.host: entry.address for entry in snapshot.entries}
+        effects = self._adopt_table(revision, snapshot.rows)
         closed = {row.site for row in self._rows if row.weight == 0}
-        self.home.update_peers(now, picture.peers, closed)
+        self.home.update_peers(now, snapshot.peers, closed)
         return effects
 
     def _ended(self, now: float, incarnation: Incarnation) -> list[Effect]:
@@ -234,16 +234,16 @@
             share_revision=self.gate.share_revision,
             view=self._view_digest,
         )
-        hosts = sorted(self._entries) if everyone else self._nearest_entries()
+        hosts = sorted(self._entries) if everyone else self._preferred_entries()
         return [Send(Incarnation(host, ""), self._entries[host], body) for host in hosts]
 
-    def _nearest_entries(self) -> list[str]:
-        """Return the entries that this host's hash favours, the same ones as long as they stay."""
-        return sorted(self._entries, key=self._affinity)[:HEARTBEAT_ENTRIES]
+    def _preferred_entries(self) -> list[str]:
+        """Return the entries that rank first by rendezvous hashing of this host."""
+        return sorted(self._entries, key=self._entry_rank)[:HEARTBEAT_ENTRIES]
 
-    def _affinity(self, entry: str) -> int:
+    def _entry_rank(self, entry: str) -> int:
         return xxhash.xxh32_intdigest(f"{self._me.host}/{entry}".encode())
 
 
-def _meant_for_any(envelope: Envelope, me: Incarnation) -> bool:
+def _is_for_any_incarnation(envelope: Envelope, me: Incarnation) -> bool:
     return envelope.to.host == me.host and not envelope.to.boot
