--- a/packages/paddleshunt-core/src/paddleshunt_core/allotments.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/allotments.py
@@ -1,8 +1,8 @@
-"""Allotments: a row's limits divided among its targets, strictly.
+"""Allotments: a row's limits divided among its targets, so that their sum never exceeds them.
 
-The store keeps one document for each row. A target's part has the share it should use now and the
-amount it may still hold from before; the sum of what is held never exceeds the row's limit. A
-smaller share frees the difference only once its holder says that it follows it, or has ended.
+The store keeps one document for each row. A target's part has its current share and the amount
+that it may still hold of an earlier one; the sum of the held amounts never exceeds the row's limit.
+Lowering a share frees the difference only once its holder reports the new revision or has ended.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,7 +20,7 @@
 class Part(msgspec.Struct, frozen=True):
     """One target's part of a row.
 
-    `since` is the document's revision in which the share was set; a holder that follows that
+    `since` is the revision of the document that set the share; a holder that has adopted that
     revision, or a later one, holds no more than the share.
     """
 
@@ -40,7 +40,7 @@
 
 @final
 class Allotment(msgspec.Struct, frozen=True):
-    """The parts of one row, as the store holds them."""
+    """The parts of one row, as stored."""
 
     service: str
     site: str
@@ -51,7 +51,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """A target that may hold a part: its revision in force, its slots and whether it leaves."""
+    """A target that may hold a part: its share's revision in force and whether it is leaving."""
 
     incarnation: Incarnation
     share_revision: int
@@ -59,10 +59,10 @@
 
 
 def share_of(allotment: Allotment, incarnation: Incarnation) -> Share | None:
-    """Return a target's share, or None if it has none yet.
+    """Return the share of a target's incarnation, or None if the document doesn't name it.
 
-    Only the incarnation that the document names has it. An earlier one's share may have gone to
-    another target by a later document, which an entry that slept or was cut off has not seen.
+    An earlier incarnation has no share, as a later document, which an entry may have missed, may
+    have given it to another target.
     """
     for part in allotment.parts:
         if part.incarnation == incarnation:
@@ -76,22 +76,22 @@
     holders: Iterable[Holder],
     has_ended: Callable[[Incarnation], bool],
 ) -> Allotment | None:
-    """Return the row's next allotment, or None if nothing is to change.
+    """Return the row's next allotment, or None if it is unchanged.
 
-    Shares are lowered at once and raised only from what nobody holds.
+    Shares are lowered at once, and raised only by amounts that no target holds.
     """
     known = {holder.incarnation: holder for holder in holders}
     old = current or Allotment(row.service, row.site, 0, [])
     newest = _newest_boots(known)
     inherited = [_inherit(part, newest) for part in old.parts]
-    settled = [_settle(part, known.get(part.incarnation)) for part in inherited]
-    alive = [part for part in settled if not has_ended(part.incarnation)]
+    released = [_release_held(part, known.get(part.incarnation)) for part in inherited]
+    alive = [part for part in released if not has_ended(part.incarnation)]
     wanted = _wanted(row, known)
     revision = old.revision + 1
     present = {part.incarnation for part in alive}
-    fresh = [_empty(inc) for inc in sorted(wanted) if inc not in present]
+    added = [_empty(inc) for inc in sorted(wanted) if inc not in present]
     parts = [_lower(part, wanted.get(part.incarnation, (0, 0)), revision) for part in alive]
-    parts = _raise(row, [*parts, *fresh], wanted, revision)
+    parts = _raise(row, [*parts, *added], wanted, revision)
     parts = [part for part in parts if _is_needed(part, wanted)]
     if parts == old.parts:
         return None
@@ -106,13 +106,13 @@
 
 
 def _inherit(part: Part, newest: dict[str, str]) -> Part:
-    """Pass a part, with all it may hold, to a newer incarnation of its host."""
+    """Transfer a part and its held amounts to the newest incarnation of its host."""
     boot = newest.get(part.host, "")
     return msgspec.structs.replace(part, boot=boot) if boot > part.boot else part
 
 
-def _settle(part: Part, holder: Holder | None) -> Part:
-    """Free what the holder has given up: it follows the revision that set its share."""
+def _release_held(part: Part, holder: Holder | None) -> Part:
+    """Reduce the held amounts to the share, if the holder has adopted the share's revision."""
     if holder is None or holder.share_revision < part.since:
         return part
     return msgspec.structs.replace(part, held_running=part.running, held_in_flight=part.in_flight)
@@ -123,12 +123,12 @@
     staying = sorted(inc for inc, holder in known.items() if not holder.leaving)
     if not staying:
         return {}
-    running = _even(row.max_running, len(staying))
-    in_flight = _even(row.max_in_flight, len(staying))
+    running = _split_evenly(row.max_running, len(staying))
+    in_flight = _split_evenly(row.max_in_flight, len(staying))
     return {inc: (running[i], in_flight[i]) for i, inc in enumerate(staying)}
 
 
-def _even(limit: int, count: int) -> list[int]:
+def _split_evenly(limit: int, count: int) -> list[int]:
     whole, rest = divmod(limit, count)
     return [whole + (1 if i < rest else 0) for i in range(count)]
 
@@ -148,7 +148,7 @@
 def _raise(
     row: Row, parts: list[Part], wanted: dict[Incarnation, tuple[int, int]], revision: int
 ) -> list[Part]:
-    """Give what nobody holds to those that want more."""
+    """Raise shares up to the wanted ones by amounts that no target holds."""
     free_running = row.max_running - sum(part.held_running for part in parts)
     free_in_flight = row.max_in_flight - sum(part.held_in_flight for part in parts)
     raised: list[Part] = []
@@ -180,5 +180,5 @@
 
 
 def _is_needed(part: Part, wanted: dict[Incarnation, tuple[int, int]]) -> bool:
-    """Whether the part must stay: its target is to have one, or may still hold something."""
+    """Whether the part's target should have a share, or may still hold one."""
     return part.incarnation in wanted or part.held_running > 0 or part.held_in_flight > 0
--- a/packages/paddleshunt-core/src/paddleshunt_core/job.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/job.py
@@ -1,4 +1,4 @@
-"""One submission as its home sees it: where each task stands and what the caller will hear."""
+"""One submission at its home: the state of each task, and the outcome that follows from them."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -10,11 +10,11 @@
 
 
 class TaskState(IntEnum):
-    """Where a task stands.
+    """State of a task.
 
-    WAITING: at the home. ASSIGNED: sent to a target, may have started. STARTED: confirmed running.
-    DONE and FAILED: ended. LOST: sent to a target that can't tell any more. CLOSED: never started
-    and never will.
+    WAITING: not sent to a target. ASSIGNED: sent to a target, may have started. STARTED: reported
+    as running. DONE and FAILED: ended. LOST: sent to a target that has lost its outcome, or ended.
+    CLOSED: not started, and never will be.
     """
 
     WAITING = 0
@@ -29,7 +29,7 @@
 @final
 @dataclass(slots=True)
 class Job:
-    """A submission that is accepted and has no outcome yet. Times are in the home's seconds."""
+    """An accepted submission without an outcome. Times are in the home's seconds."""
 
     submission: str
     service: str
@@ -54,13 +54,13 @@
         self.unfinished = count
 
     def assign_next(self) -> int:
-        """Return the next waiting task, which is now assigned."""
+        """Mark the next waiting task as assigned and return its index."""
         index = self.waiting.popleft()
         self.states[index] = TaskState.ASSIGNED
         return index
 
     def put_back(self, index: int) -> None:
-        """Note that an assigned task did not start; it waits again unless the job is stopping."""
+        """Requeue an assigned task that did not start, or close it if the job is stopping."""
         if self.stopping:
             self.states[index] = TaskState.CLOSED
             return
@@ -68,11 +68,11 @@
         self.waiting.appendleft(index)
 
     def confirm_started(self, index: int) -> None:
-        """Note that a target said the task is running."""
+        """Record that the task's target has reported it as running."""
         self.states[index] = TaskState.STARTED
 
     def finish(self, index: int, *, ok: bool, payload: bytes) -> None:
-        """Note the end of a task: its result, or the reason of its failure."""
+        """Record the end of a task: its result, or the reason for its failure."""
         self.unfinished -= 1
         if ok:
             self.states[index] = TaskState.DONE
@@ -82,23 +82,23 @@
         self.failure = self.failure or f"task {index}: {payload.decode(errors='replace')}"
 
     def mark_lost(self, index: int, why: str) -> None:
-        """Note that nobody can tell any more whether the task ran."""
+        """Record that it can't be determined whether the task ran."""
         self.states[index] = TaskState.LOST
         self.lost = True
         self.failure = self.failure or f"task {index}: {why}"
 
     def stop(self, reason: str) -> None:
-        """Assign nothing more, and close what has not started."""
+        """Stop assigning tasks, and close those that wait."""
         self.stopping = self.stopping or reason
         while self.waiting:
             self.states[self.waiting.popleft()] = TaskState.CLOSED
 
     def indexes(self, *states: TaskState) -> list[int]:
-        """Return the tasks that are in one of `states`."""
+        """Return the indexes of the tasks in one of `states`."""
         return [index for index, state in enumerate(self.states) if state in states]
 
     def settled_outcome(self, *, at_deadline: bool, retry_after_ms: int) -> Outcome | None:
-        """Return the outcome if it is settled; with `at_deadline`, the truest one there is now."""
+        """Return the outcome if it is settled; at the deadline, a stopped job always has one."""
         if self.unfinished == 0 and not self.failure:
             return Complete(self.results)
         if self.lost:
@@ -107,14 +107,14 @@
             return self._failed(self.failure)
         if not self.stopping:
             return None
-        return self._stopped(at_deadline=at_deadline, retry_after_ms=retry_after_ms)
+        return self._stopped_outcome(at_deadline=at_deadline, retry_after_ms=retry_after_ms)
 
-    def _stopped(self, *, at_deadline: bool, retry_after_ms: int) -> Outcome | None:
-        unsettled = self.indexes(TaskState.ASSIGNED)
-        if unsettled:
+    def _stopped_outcome(self, *, at_deadline: bool, retry_after_ms: int) -> Outcome | None:
+        unconfirmed = self.indexes(TaskState.ASSIGNED)
+        if unconfirmed:
             if not at_deadline:
                 return None
-            return Unknown(f"{self.stopping}; {len(unsettled)} tasks may have started")
+            return Unknown(f"{self.stopping}; {len(unconfirmed)} tasks may have started")
         if not self.indexes(TaskState.STARTED, TaskState.DONE):
             return NotRun(self.stopping, retry_after_ms)
         if self.indexes(TaskState.STARTED) and not at_deadline:
--- a/testing/core/test_job.py
+++ b/testing/core/test_job.py
@@ -12,14 +12,14 @@
     return job.settled_outcome(at_deadline=at_deadline, retry_after_ms=5)
 
 
-def test_complete_only_when_all_have_ended(job: Job) -> None:
+def test_complete_only_when_all_tasks_have_ended(job: Job) -> None:
     job.finish(job.assign_next(), ok=True, payload=b"A")
     assert settled_outcome(job) is None
     job.finish(job.assign_next(), ok=True, payload=b"B")
     assert settled_outcome(job) == Complete([b"A", b"B"])
 
 
-def test_failure_lists_what_ran_and_what_did_not(job: Job) -> None:
+def test_failure_lists_failed_and_unstarted_tasks(job: Job) -> None:
     job.finish(job.assign_next(), ok=False, payload=b"no")
     assert settled_outcome(job) == Failed("task 0: no", [0], [], [1])
 
@@ -37,7 +37,7 @@
     assert isinstance(settled_outcome(job, at_deadline=True), Unknown)
 
 
-def test_stopped_with_a_task_that_runs(job: Job) -> None:
+def test_stopped_with_a_running_task(job: Job) -> None:
     job.confirm_started(job.assign_next())
     job.stop("deadline")
     assert settled_outcome(job) is None
