--- a/packages/paddleshunt-cli/src/paddleshunt_cli/replay.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/replay.py
@@ -39,7 +39,7 @@
     decoder = msgspec.json.Decoder(Event)
     for number, line in enumerate(file.read_bytes().splitlines(), 1):
         try:
-            checker.take(decoder.decode(line))
+            checker.check_event(decoder.decode(line))
         except msgspec.MsgspecError as error:
             click.echo(f"{file}: line {number}: {error}", err=True)
             raise SystemExit(UNREADABLE) from error
--- a/packages/paddleshunt-core/src/paddleshunt_core/checker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/checker.py
@@ -1,7 +1,7 @@
-"""The checker: what must always hold, checked over a trace of events.
+"""The checker: verifies invariants over a trace of events.
 
-One checker serves the scenarios and fuzzing of the tests and the traces of real runs. It keeps the
-trace's history in memory, so it is for traces of minutes, not for running beside a system.
+It serves the scenario and fuzz tests as well as traces of real runs. It keeps the trace's history
+in memory, so it suits traces of minutes, not continuous monitoring.
 """
 
 from collections import Counter
@@ -29,7 +29,7 @@
 
 @final
 class Started(_Event, frozen=True, tag="started"):
-    """A target handed a task to its runner; `target` names the incarnation."""
+    """A target started a task on its runner; `target` names the incarnation."""
 
     submission: str
     index: int
@@ -50,7 +50,7 @@
 
 @final
 class Answered(_Event, frozen=True, tag="answered"):
-    """A caller got an outcome. `right` tells whether the results are those of its own tasks."""
+    """A caller got an outcome; `right`: whether the results are those of its own tasks."""
 
     submission: str
     outcome: str
@@ -75,7 +75,7 @@
 
 @final
 class Shares(_Event, frozen=True, tag="shares"):
-    """What the live targets of a row may run and hold together, and the row's limits."""
+    """Sums of the shares of a row's live targets, and the row's limits."""
 
     service: str
     site: str
@@ -89,7 +89,7 @@
 
 
 class Rule(StrEnum):
-    """What must always hold."""
+    """Invariants of every trace."""
 
     START_ONCE = "no task starts twice"
     WHOLE_ANSWER = "an answer is complete or failed, never partial"
@@ -101,7 +101,7 @@
     WITHIN_LIMITS = "a row stays within its limits"
 
 
-LEAVE_GRACE = 3.0
+LEAVE_GRACE_SECONDS = 3.0
 """Seconds after which a leaving target may start nothing more."""
 
 _SETTLED = frozenset({"complete", "failed", "not_run"})
@@ -110,7 +110,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken, when, and by what."""
+    """A violated rule, with the time and the details."""
 
     time: float
     rule: Rule
@@ -122,7 +122,7 @@
 
 @final
 class Checker:
-    """Takes events in the order of time and collects violations."""
+    """Checks events, given in order of time, and collects violations."""
 
     def __init__(self) -> None:
         self.violations: list[Violation] = []
@@ -133,68 +133,70 @@
         self._revisions: dict[str, int] = {}
         self._left: dict[str, float] = {}
 
-    def take(self, event: Event) -> None:
-        """Check one event against all that came before."""
+    def check_event(self, event: Event) -> None:
+        """Check an event against the earlier ones."""
         match event:
             case Submitted():
                 self._tasks[event.submission] = event.tasks
             case Started():
-                self._started_task(event)
+                self._check_started(event)
             case Answered():
-                self._answered(event)
+                self._check_answered(event)
             case Adopted():
-                self._adopted(event)
+                self._check_adopted(event)
             case Leaving():
                 self._left[event.target] = event.time
             case Shares():
-                self._shares(event)
+                self._check_shares(event)
             case Ended():
                 pass
 
-    def _started_task(self, event: Started) -> None:
+    def _check_started(self, event: Started) -> None:
         key = (event.submission, event.index)
         self.starts[key] += 1
         self._started.add(event.submission)
         name = f"{event.submission}/{event.index} at {event.target}"
         if self.starts[key] > 1:
-            self._break(event.time, Rule.START_ONCE, name)
+            self._add_violation(event.time, Rule.START_ONCE, name)
         if "not_run" in self._outcomes.get(event.submission, ()):
-            self._break(event.time, Rule.NOT_RUN_TRUE, f"{name} started after not_run")
+            self._add_violation(event.time, Rule.NOT_RUN_TRUE, f"{name} started after not_run")
         left = self._left.get(event.target)
-        if left is not None and event.time > left + LEAVE_GRACE:
-            self._break(event.time, Rule.LEAVING_QUIET, name)
+        if left is not None and event.time > left + LEAVE_GRACE_SECONDS:
+            self._add_violation(event.time, Rule.LEAVING_QUIET, name)
 
-    def _answered(self, event: Answered) -> None:
+    def _check_answered(self, event: Answered) -> None:
         name = event.submission
         tasks = self._tasks.get(name)
         if event.outcome == "complete" and tasks is not None and event.results != tasks:
-            self._break(event.time, Rule.WHOLE_ANSWER, f"{name}: {event.results} of {tasks}")
+            self._add_violation(
+                event.time, Rule.WHOLE_ANSWER, f"{name}: {event.results} of {tasks}"
+            )
         if not event.right:
-            self._break(event.time, Rule.OWN_ANSWER, name)
+            self._add_violation(event.time, Rule.OWN_ANSWER, name)
         if event.outcome == "not_run" and name in self._started:
-            self._break(event.time, Rule.NOT_RUN_TRUE, f"{name} had started")
+            self._add_violation(event.time, Rule.NOT_RUN_TRUE, f"{name} had started")
         if event.outcome not in _SETTLED:
             return
         earlier = self._outcomes.setdefault(name, set())
         earlier.add(event.outcome)
         if len(earlier) > 1:
-            self._break(event.time, Rule.ONE_OUTCOME, f"{name}: {sorted(earlier)}")
+            self._add_violation(event.time, Rule.ONE_OUTCOME, f"{name}: {sorted(earlier)}")
 
-    def _adopted(self, event: Adopted) -> None:
+    def _check_adopted(self, event: Adopted) -> None:
         known = self._revisions.get(event.process, 0)
         if event.revision < known:
             detail = f"{event.process} went from {known} to {event.revision}"
-            self._break(event.time, Rule.NO_REVERT, detail)
+            self._add_violation(event.time, Rule.NO_REVERT, detail)
         self._revisions[event.process] = max(known, event.revision)
 
-    def _shares(self, event: Shares) -> None:
+    def _check_shares(self, event: Shares) -> None:
         row = f"{event.service} at {event.site}"
         if event.running > event.max_running:
             detail = f"{row}: {event.running} running, limit {event.max_running}"
-            self._break(event.time, Rule.WITHIN_LIMITS, detail)
+            self._add_violation(event.time, Rule.WITHIN_LIMITS, detail)
         if event.in_flight > event.max_in_flight:
             detail = f"{row}: {event.in_flight} in flight, limit {event.max_in_flight}"
-            self._break(event.time, Rule.WITHIN_LIMITS, detail)
+            self._add_violation(event.time, Rule.WITHIN_LIMITS, detail)
 
-    def _break(self, time: float, rule: Rule, detail: str) -> None:
+    def _add_violation(self, time: float, rule: Rule, detail: str) -> None:
         self.violations.append(Violation(time, rule, detail))
--- a/packages/paddleshunt-core/src/paddleshunt_core/forecast.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/forecast.py
@@ -1,4 +1,4 @@
-"""How long the waiting tasks of a home will take, by what it has placed and seen end."""
+"""Estimates how long the waiting tasks of a home will take."""
 
 from typing import final
 
@@ -7,15 +7,15 @@
 from paddleshunt_core.links import Link
 from paddleshunt_core.placement import Placement
 
-LEARNING_STEP = 0.05
-"""Weight of one end in the usual length of a task: about the last 20 ends count."""
+DURATION_WEIGHT = 0.05
+"""Weight of a finished task in the moving average of task durations."""
 
 
 @final
 class Forecast:
-    """Expectations of one home, over its own jobs and links as they are when it is asked.
+    """Estimates of one home, from the current state of its jobs and links.
 
-    `task_seconds` is the usual length of a task, first a guess, then learned.
+    `task_seconds` is the moving average of task durations; its initial value is a setting.
     """
 
     def __init__(
@@ -30,25 +30,25 @@
         self._placement = placement
         self.task_seconds = task_seconds
 
-    def learn(self, seconds: float) -> None:
-        """Note how long a task took."""
-        self.task_seconds += LEARNING_STEP * (seconds - self.task_seconds)
+    def record_duration(self, seconds: float) -> None:
+        """Update the average with the duration of a finished task."""
+        self.task_seconds += DURATION_WEIGHT * (seconds - self.task_seconds)
 
     def waiting_tasks(self) -> int:
         """Return how many tasks wait for a target."""
         return sum(len(job.waiting) for job in self._jobs.values())
 
     def wait(self, now: float, waiting: int) -> float:
-        """Estimate the seconds until `waiting` more tasks of this home could have ended."""
+        """Estimate the seconds until `waiting` more tasks of this home have ended."""
         usable = [link for link in self._links.values() if link.is_usable(now)]
         slots = sum(link.load.slots for link in usable)
-        busy = sum(self._placement.estimated_tasks(link, now) for link in usable)
+        assigned = sum(self._placement.estimated_tasks(link, now) for link in usable)
         if slots == 0:
             return 0.0
-        estimate = (waiting + busy) / slots * self.task_seconds
+        estimate = (waiting + assigned) / slots * self.task_seconds
         placed = sum(len(link.outstanding) for link in usable)
         if placed and self.waiting_tasks():
-            # Others use the same targets. What this home gets of them is, by Little's law, the
-            # tasks it has there over the time that each spends there.
+            # Other homes use the same targets. By Little's law, this home's throughput is the
+            # number of its tasks at the targets over the duration of a task.
             estimate = max(estimate, waiting * self.task_seconds / placed)
         return estimate
--- a/packages/paddleshunt-core/src/paddleshunt_core/home.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/home.py
@@ -69,7 +69,7 @@
         self._records = Records(limits.answer_bytes)
         self._links: dict[Incarnation, Link] = {}
         self._closed_sites: set[str] = set()
-        self._forecast = Forecast(self._jobs, self._links, placement, limits.usual_task)
+        self._forecast = Forecast(self._jobs, self._links, placement, limits.initial_task_seconds)
         self.leaving = False
 
     @property
@@ -175,7 +175,7 @@
         for job in touched.values():
             effects += self._settle(now, job)
         if link.gap and not link.inquiry:
-            effects.append(self._inquiries.ask(now, link, list(link.outstanding), revoke=False))
+            effects.append(self._inquiries.inquire(now, link, list(link.outstanding), revoke=False))
         return effects
 
     def undelivered(self, now: float, gate: Incarnation, message: Body) -> list[Effect]:
@@ -202,7 +202,7 @@
             if now >= job.deadline:
                 effects += self._settle(now, job, at_deadline=True)
         effects += self._revoke_queued(now)
-        effects += self._inquiries.ask_slow(now, self._links.values())
+        effects += self._inquiries.inquire_slow(now, self._links.values())
         self._records.forget(now)
         return effects
 
@@ -300,7 +300,7 @@
         if result.ok is None:
             job.mark_lost(result.index, "how it ended is not known any more")
             return
-        self._forecast.learn(now - out.sent)
+        self._forecast.record_duration(now - out.sent)
         job.finish(result.index, ok=result.ok, payload=result.payload)
 
     def _requeue(self, link: Link, key: TaskKey, seen_seq: int, touched: dict[str, Job]) -> None:
--- a/packages/paddleshunt-core/src/paddleshunt_core/homelimits.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/homelimits.py
@@ -1,4 +1,4 @@
-"""Bounds of what one home remembers, and of how long it goes by it."""
+"""Limits of one home: ids, records, waiting tasks and kept answers."""
 
 from dataclasses import dataclass
 from typing import final
@@ -7,10 +7,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class HomeLimits:
-    """Bounds of a home's memory and patience.
+    """Limits of a home.
 
-    `window` and `skew` (seconds) bound when an id is accepted, by the home's own clock.
-    `usual_task` (seconds) is the first guess of a task's length, until tasks have been seen.
+    An id is accepted until `window` seconds after it was minted, and up to `skew` seconds before,
+    by the home's clock. `initial_task_seconds` is the assumed task duration until tasks have ended.
     """
 
     window: float = 120.0
@@ -18,4 +18,4 @@
     max_records: int = 20_000
     max_waiting_tasks: int = 20_000
     answer_bytes: int = 8 << 20
-    usual_task: float = 0.25
+    initial_task_seconds: float = 0.25
--- a/packages/paddleshunt-core/src/paddleshunt_core/waste.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/waste.py
@@ -1,4 +1,4 @@
-"""Counts of what was sent, or run, for nothing: the brief's second measure."""
+"""Counts of messages and work without effect."""
 
 from dataclasses import dataclass
 from typing import final
@@ -9,9 +9,9 @@
 class Waste:
     """Counts since the process started.
 
-    refused: tasks that a gate sent back; repeated: messages that came late or twice; inquiries:
-    questions of a home; offers: reports that only say there is room; discarded: results nobody
-    waits for any more.
+    refused: tasks that a gate refused; repeated: messages dropped as late or repeated; inquiries:
+    inquiries of the home; offers: reports of the gate that only announce free capacity; discarded:
+    results of tasks that the home no longer waits for.
     """
 
     refused: int = 0
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -540,7 +540,7 @@
 
     def _note(self, event: Event) -> None:
         self.trace.append(event)
-        self.checker.take(event)
+        self.checker.check_event(event)
 
     # The store.
 
