--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -1,7 +1,7 @@
 """A small fleet for tests: the real core with a fake clock, fake links, runners and store.
 
-It is no cluster simulator: it moves messages between the state machines in the order of time, lets
-tests break links, processes and the store, and feeds the checker with what happens.
+It passes messages between the state machines in order of time, lets tests inject faults into links,
+processes and the store, and passes all events to the checker.
 """
 
 import heapq
@@ -55,16 +55,17 @@
 )
 from paddleshunt_platform.tableedit import EditOutcome, apply_edit, read_table
 
+# Intervals and latencies in seconds.
 TICK = 0.05
-NEAR = 0.0005
-FAR = 0.002
+SITE_LATENCY = 0.0005
+REMOTE_LATENCY = 0.002
 STORE_DELAY = 0.005
-HOSTS_EVERY = 2.0
+HOSTS_INTERVAL = 2.0
 SERVICE = "results"
 
 
 class Fleet:
-    """Entries, targets, runners and a store, in one thread and by a fake clock."""
+    """Entries, targets, runners and a store, in one thread with a fake clock."""
 
     def __init__(self, shape: Shape, seed: int = 1) -> None:
         self.shape = shape
@@ -78,7 +79,7 @@
         self.sent: Counter[str] = Counter()
         self.processes: dict[str, Process] = {}
         self.hosts: dict[str, Host] = {}
-        self.shown_hosts: list[Host] = []
+        self.published_hosts: list[Host] = []
         self.list_lags = False
         self.jobs: dict[str, Job] = {}
         self.fail_tasks: set[tuple[str, int]] = set()
@@ -91,19 +92,17 @@
         self.limit_history = [self.rows]
         self._start_all()
 
-    # Building.
-
     def _row(self, site: str) -> Row:
         count = self.shape.sites[site]
         running = self.shape.max_running
         in_flight = self.shape.max_in_flight
-        room = count * self.shape.slots
+        slots = count * self.shape.slots
         return Row(
             SERVICE,
             site,
             1,
-            room if running is None else running,
-            2 * room if in_flight is None else in_flight,
+            slots if running is None else running,
+            2 * slots if in_flight is None else in_flight,
         )
 
     def _start_all(self) -> None:
@@ -113,10 +112,10 @@
         for site, count in self.shape.sites.items():
             for number in range(count):
                 self._add_host(f"{site}-{number}", Role.TARGET, site)
-        self.catch_up_hosts()
+        self.publish_hosts()
         for host in list(self.hosts):
             self.start(host)
-        self._every(HOSTS_EVERY, self._show_hosts)
+        self._every(HOSTS_INTERVAL, self._update_hosts)
         self.run(4.0)
 
     def _add_host(self, name: str, role: Role, site: str) -> None:
@@ -154,18 +153,16 @@
         )
 
     def _start_entry(self, process: Process, entry: Entry) -> None:
-        self._perform(process, entry.update_hosts(self.now, self.shown_hosts))
+        self._perform(process, entry.update_hosts(self.now, self.published_hosts))
         self._perform(process, entry.request_state(self.now))
         self._read_store(process)
 
-    # Time.
-
     def at(self, delay: float, action: Callable[[], None]) -> None:
-        """Do something `delay` seconds from now."""
+        """Run `action` in `delay` seconds."""
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, running what is due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -174,7 +171,7 @@
         self.check_shares()
 
     def run_until(self, done: Callable[[], bool], limit: float) -> bool:
-        """Let time pass until `done`, for at most `limit` seconds; return whether it was."""
+        """Advance the clock until `done()`, by at most `limit` seconds; return whether it was."""
         end = self.now + limit
         while not done():
             if not self._events or self._events[0][0] > end:
@@ -198,32 +195,30 @@
             self._flush(process)
         self.at(TICK, lambda: self._tick(process))
 
-    # Faults.
-
     def crash(self, name: str) -> None:
-        """End a process without warning; its runner's tasks go on unseen."""
+        """End a process abruptly; its runner's tasks continue unobserved."""
         self.processes[name].alive = False
 
     def pause(self, name: str) -> None:
-        """Freeze a process; what comes for it waits."""
+        """Suspend a process; its inputs are deferred."""
         self.processes[name].paused = True
 
     def resume(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process, and pass it the deferred inputs."""
         process = self.processes[name]
         process.paused = False
-        held, process.held = process.held, []
-        for action in held:
+        deferred, process.deferred = process.deferred, []
+        for action in deferred:
             action()
 
     def leave(self, name: str) -> None:
-        """Tell a process to stop in order; it exits when it may."""
+        """Begin an orderly stop of a process; a target exits once it has finished."""
         process = self.processes[name]
         machine = process.machine
         if isinstance(machine, Entry):
             machine.leaving = True
             return
-        self._note(Leaving(self.now, str(process.incarnation)))
+        self._record(Leaving(self.now, str(process.incarnation)))
         self._perform(process, machine.leave(self.now))
         self._flush(process)
         self._await_exit(process, machine)
@@ -238,13 +233,13 @@
         self.at(TICK, lambda: self._await_exit(process, machine))
 
     def cut(self, one: str, other: str, *, both: bool = True) -> None:
-        """Cut the link between two hosts, or one way of it."""
+        """Cut the link between two hosts in both directions, or only from `one` to `other`."""
         self.links.cut.add((one, other))
         if both:
             self.links.cut.add((other, one))
 
     def isolate_site(self, site: str) -> None:
-        """Cut every link between a site's hosts and the others."""
+        """Cut all links between a site's hosts and the others."""
         inside = [h.host for h in self.hosts.values() if h.site == site]
         outside = [h.host for h in self.hosts.values() if h.site != site]
         for one in inside:
@@ -252,24 +247,24 @@
                 self.cut(one, other)
 
     def heal(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         self.links.cut.clear()
 
     def list_host(self, name: str, state: HostState) -> None:
-        """Change what the platform lists of a host."""
+        """Change a host's state in the platform's list."""
         self.hosts[name] = msgspec.structs.replace(self.hosts[name], state=state)
         if not self.list_lags:
-            self.catch_up_hosts()
+            self.publish_hosts()
 
-    def catch_up_hosts(self) -> None:
-        """Let the platform's list show all changes."""
-        self.shown_hosts = list(self.hosts.values())
+    def publish_hosts(self) -> None:
+        """Publish the current hosts in the platform's list."""
+        self.published_hosts = list(self.hosts.values())
 
-    def _show_hosts(self) -> None:
+    def _update_hosts(self) -> None:
         for process in self.entries():
             entry = process.machine
             assert isinstance(entry, Entry)
-            self._perform(process, entry.update_hosts(self.now, self.shown_hosts))
+            self._perform(process, entry.update_hosts(self.now, self.published_hosts))
         for process in self._live(Role.TARGET):
             target = process.machine
             assert isinstance(target, Target)
@@ -277,11 +272,9 @@
                 target.add_listed_entries(self._listed_entries())
 
     def _listed_entries(self) -> list[EntryInfo]:
-        hosts = [h for h in self.shown_hosts if h.role is Role.ENTRY]
+        hosts = [h for h in self.published_hosts if h.role is Role.ENTRY]
         return [EntryInfo(host.host, host.peers) for host in hosts]
 
-    # Callers and operators.
-
     def submit(
         self,
         name: str,
@@ -303,7 +296,7 @@
         message = Submit(submission, SERVICE, repeatable, deadline_ms, digest, payloads)
         job = Job(name, submission, message, sent=self.now)
         self.jobs[name] = job
-        self._note(Submitted(self.now, submission, tasks, repeatable))
+        self._record(Submitted(self.now, submission, tasks, repeatable))
         if isinstance(minted, NotAccepted):
             self._answer(job, Answer(submission, digest, minted))
             return job
@@ -311,7 +304,7 @@
         return job
 
     def resubmit(self, name: str, *, through: str, message: Submit | None = None) -> None:
-        """Send the same submission, or another body under its id, through an entry."""
+        """Send the submission again, or `message` under its id, through an entry."""
         job = self.jobs[name]
         process = self.processes[through]
         caller = next(self._caller)
@@ -322,10 +315,10 @@
             assert isinstance(entry, Entry)
             self._perform(process, entry.submit(self.now, caller, message or job.message))
 
-        self._give(process, send)
+        self._pass_input(process, send)
 
     def look_up(self, name: str, *, through: str) -> None:
-        """Ask for a submission's state."""
+        """Query a submission's state through an entry."""
         job = self.jobs[name]
         process = self.processes[through]
         caller = next(self._caller)
@@ -335,7 +328,7 @@
         self._perform(process, entry.look_up(self.now, caller, job.submission))
 
     def edit(self, rows: list[Row], base: int | None = None, edit: str = "") -> EditOutcome:
-        """Apply an edit of the table as the command line does, without waiting."""
+        """Apply an edit of the table as the command line does, without delays."""
         in_force = [
             p.machine.table.document for p in self.entries() if isinstance(p.machine, Entry)
         ]
@@ -349,19 +342,17 @@
         return outcome
 
     def hand_over(self, document: TableDocument) -> None:
-        """Hand an accepted table to every entry, as the command line does."""
+        """Send an accepted table to every entry, as the command line does."""
         for process in self.entries():
             assert isinstance(process.machine, Entry)
             self._perform(process, process.machine.receive_table(self.now, document))
 
-    # Looking.
-
     def entries(self) -> list[Process]:
-        """Return the entries that run."""
+        """Return the running entries."""
         return self._live(Role.ENTRY)
 
     def targets(self) -> list[Process]:
-        """Return the targets that run."""
+        """Return the running targets."""
         return self._live(Role.TARGET)
 
     def target(self, name: str) -> Target:
@@ -377,15 +368,15 @@
         return machine
 
     def revisions(self) -> dict[str, int]:
-        """Return the table revision that each running process follows."""
-        found: dict[str, int] = {}
+        """Return the table revision in force at each running process, by host."""
+        revisions: dict[str, int] = {}
         for process in self.processes.values():
             if process.alive:
-                found[process.host] = process.revision
-        return found
+                revisions[process.host] = process.revision
+        return revisions
 
     def check_shares(self) -> None:
-        """Let the checker compare what gates may run with every limit that was ever in force."""
+        """Check the sums of shares against the highest limits that were ever in force."""
         for site in self.shape.sites:
             gates = [
                 p.machine.gate
@@ -394,7 +385,7 @@
             ]
             shares = [gate._share for gate in gates if gate._share is not None]
             limits = [row for rows in self.limit_history for row in rows if row.site == site]
-            self._note(
+            self._record(
                 Shares(
                     self.now,
                     SERVICE,
@@ -409,13 +400,11 @@
     def _live(self, role: Role) -> list[Process]:
         return [p for p in self.processes.values() if p.role is role and p.alive and not p.paused]
 
-    # Moving things.
-
-    def _give(self, process: Process, action: Callable[[], None]) -> None:
+    def _pass_input(self, process: Process, action: Callable[[], None]) -> None:
         if not process.alive:
             return
         if process.paused:
-            process.held.append(lambda: self._give(process, action))
+            process.deferred.append(lambda: self._pass_input(process, action))
             return
         action()
         self._flush(process)
@@ -441,7 +430,7 @@
                 case Log("table_adopted", _, fields):
                     process.revision = int(fields["revision"])
                     name = str(process.incarnation)
-                    self._note(Adopted(self.now, name, process.revision))
+                    self._record(Adopted(self.now, name, process.revision))
                 case Log():
                     pass
 
@@ -453,7 +442,7 @@
         if send.to == me:
             self.at(0.0, lambda: self._deliver(process.host, raw))
             return
-        if (process.host, send.address) in self.links.cut or self._is_hit(kind):
+        if (process.host, send.address) in self.links.cut or self._is_dropped(kind):
             return
         if self.links.late_copy[kind]:
             self.links.late_copy[kind] -= 1
@@ -463,7 +452,7 @@
             delay += self.rng.random() * self.links.jitter
             self.at(delay, lambda: self._deliver(send.address, raw))
 
-    def _is_hit(self, kind: str) -> bool:
+    def _is_dropped(self, kind: str) -> bool:
         if self.links.drop[kind]:
             self.links.drop[kind] -= 1
             return True
@@ -477,7 +466,7 @@
 
     def _latency(self, process: Process, address: str) -> float:
         other = self.hosts.get(address)
-        return NEAR if other is not None and other.site == process.site else FAR
+        return SITE_LATENCY if other is not None and other.site == process.site else REMOTE_LATENCY
 
     def _deliver(self, address: str, raw: bytes) -> None:
         process = self.processes.get(address)
@@ -489,10 +478,10 @@
         def handle() -> None:
             self._perform(process, process.machine.handle(self.now, envelope))
 
-        self._give(process, handle)
+        self._pass_input(process, handle)
 
     def undelivered(self, name: str, to: Incarnation, body: Body) -> None:
-        """Tell a target that a message provably stayed."""
+        """Report to a process that a message of it was certainly never sent."""
         process = self.processes[name]
         machine = process.machine
         if isinstance(machine, Entry):
@@ -503,7 +492,7 @@
     def _run_task(self, process: Process, start: Start) -> None:
         target = str(process.incarnation)
         key = (start.submission, start.index)
-        self._note(Started(self.now, *key, target, SERVICE, process.site))
+        self._record(Started(self.now, *key, target, SERVICE, process.site))
         seconds = self._task_seconds()
         if seconds > start.timeout:
             self.at(start.timeout, lambda: self._end_task(process, start, False))
@@ -518,7 +507,7 @@
 
     def _end_task(self, process: Process, start: Start, ok: bool | None) -> None:
         key = (start.submission, start.index)
-        self._note(Ended(self.now, *key, str(process.incarnation), bool(ok)))
+        self._record(Ended(self.now, *key, str(process.incarnation), bool(ok)))
         payload = b"" if ok is None else (start.payload if ok else b"broken")
         target = process.machine
         assert isinstance(target, Target)
@@ -526,7 +515,7 @@
         def end() -> None:
             self._perform(process, target.gate.finished(self.now, *key, ok, payload))
 
-        self._give(process, end)
+        self._pass_input(process, end)
 
     def _answer(self, job: Job, answer: Answer) -> None:
         outcome = answer.outcome
@@ -536,18 +525,17 @@
         job.retry_after_ms = getattr(outcome, "retry_after_ms", 0)
         results = outcome.results if isinstance(outcome, Complete) else []
         right = not results or results == job.message.tasks
-        self._note(Answered(self.now, job.submission, kind, len(results), right))
+        self._record(Answered(self.now, job.submission, kind, len(results), right))
 
-    def _note(self, event: Event) -> None:
+    def _record(self, event: Event) -> None:
         self.trace.append(event)
         self.checker.check_event(event)
 
-    # The store.
-
     def _store_written(self, value: Value) -> None:
         for process in self.entries():
             self.at(
-                STORE_DELAY, lambda p=process: self._give(p, lambda: self._take_value(p, value))
+                STORE_DELAY,
+                lambda p=process: self._pass_input(p, lambda: self._receive_value(p, value)),
             )
 
     def _read_store(self, process: Process) -> None:
@@ -555,15 +543,15 @@
         if not isinstance(listing, Listing):
             return
         for value in listing.values:
-            self._take_value(process, value)
+            self._receive_value(process, value)
 
     def store_up(self) -> None:
-        """Bring the store back; entries read it anew."""
+        """Restore the store; entries read it again."""
         self.store.down = False
         for process in self.entries():
             self._read_store(process)
 
-    def _take_value(self, process: Process, value: Value) -> None:
+    def _receive_value(self, process: Process, value: Value) -> None:
         entry = process.machine
         assert isinstance(entry, Entry)
         if self.store.down:
--- a/testing/fleetparts.py
+++ b/testing/fleetparts.py
@@ -1,4 +1,4 @@
-"""What a fleet of a test is made of: its shape, processes, submissions and broken links."""
+"""Parts of a test fleet: its shape, processes, submissions and link faults."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @dataclass
 class Process:
-    """One process of the fleet and what its surroundings keep of it."""
+    """One process of the fleet, with its state in the test environment."""
 
     host: str
     role: Role
@@ -23,14 +23,14 @@
     machine: Entry | Target
     alive: bool = True
     paused: bool = False
-    held: list[Callable[[], None]] = field(default_factory=list)
+    deferred: list[Callable[[], None]] = field(default_factory=list)
     versions: dict[str, int] = field(default_factory=dict)
     revision: int = 0
 
 
 @dataclass
 class Job:
-    """A submission of a test's caller, and every answer it got."""
+    """A submission of a test's caller, and all answers to it."""
 
     name: str
     submission: str
@@ -47,7 +47,7 @@
 
 @dataclass
 class Links:
-    """Faults between hosts: what is cut, and how many messages of a kind to drop and so on."""
+    """Faults of links: which are cut, and which messages are dropped, repeated or delayed."""
 
     cut: set[tuple[str, str]] = field(default_factory=set)
     drop: Counter[str] = field(default_factory=Counter)
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """Size of a fleet: targets by site, entries, slots, and limits of each row."""
+    """Size of a fleet: targets by site, entries, slots, limits of each row and task durations."""
 
     sites: dict[str, int]
     entries: int = 2
--- a/testing/scenario.py
+++ b/testing/scenario.py
@@ -1,7 +1,7 @@
-"""The scenario language: a TOML file is a fleet, a list of steps, and what must come out.
+"""The scenario language: a TOML file describes a fleet, a list of steps and the expected results.
 
-After every step the checker's rules are looked at. Each kind of step is one class below; its
-fields are the keys of the step, and `do` names it.
+The checker's rules are verified after every step. Each kind of step is a class below; its fields
+are the keys of the step, and its tag is the value of `do`.
 """
 
 import tomllib
@@ -65,7 +65,7 @@
 
 
 class Burst(_Step, frozen=True, tag="burst"):
-    """Submit jobs `name-0` to `name-<count-1>` at once, in turn through the entries."""
+    """Submit jobs `name-0` to `name-<count-1>` at once, through the entries in rotation."""
 
     name: str
     count: int
@@ -117,7 +117,7 @@
 
 
 class Starts(_Step, frozen=True, tag="starts"):
-    """Compare how many of the job's tasks have started."""
+    """Check how many of the job's tasks have started."""
 
     job: str
     at_least: int = 0
@@ -137,7 +137,7 @@
 
 
 class CrashHome(_Step, frozen=True, tag="crash_home"):
-    """Crash the target that is home of a job."""
+    """Crash the home of a job."""
 
     job: str
 
@@ -146,21 +146,21 @@
 
 
 class CrashOther(_Step, frozen=True, tag="crash_other"):
-    """Crash the first target that is not home of a job."""
+    """Crash the first target that is not the home of a job."""
 
     job: str
 
     def run(self, fleet: Fleet) -> None:
-        fleet.crash(other_than_home(fleet, self.job))
+        fleet.crash(first_other_target(fleet, self.job))
 
 
 class RestartOther(_Step, frozen=True, tag="restart_other"):
-    """Restart that target."""
+    """Restart the first target that is not the home of a job."""
 
     job: str
 
     def run(self, fleet: Fleet) -> None:
-        fleet.start(other_than_home(fleet, self.job))
+        fleet.start(first_other_target(fleet, self.job))
 
 
 class Restart(_Step, frozen=True, tag="restart"):
@@ -207,7 +207,7 @@
 
 
 class Exited(_Step, frozen=True, tag="exited"):
-    """Wait until a leaving host's process has ended by itself."""
+    """Wait until a leaving host's process has exited."""
 
     host: str
     within: float = 10.0
@@ -231,7 +231,7 @@
     def run(self, fleet: Fleet) -> None:
         fleet.list_lags = self.on
         if not self.on:
-            fleet.catch_up_hosts()
+            fleet.publish_hosts()
 
 
 class Cut(_Step, frozen=True, tag="cut"):
@@ -272,7 +272,7 @@
 
 
 class LateCopy(_Step, frozen=True, tag="late_copy"):
-    """Let a second copy of the next messages of a kind arrive late."""
+    """Deliver a second, late copy of the next messages of a kind."""
 
     kind: str
     seconds: float
@@ -284,7 +284,7 @@
 
 
 class Delay(_Step, frozen=True, tag="delay"):
-    """Delay all messages of a kind from now on (0 ends it)."""
+    """Delay all later messages of a kind (0 ends the delay)."""
 
     kind: str
     seconds: float
@@ -294,7 +294,7 @@
 
 
 class Noise(_Step, frozen=True, tag="noise"):
-    """Drop and repeat a share of all messages, and shake their order."""
+    """Drop and repeat a fraction of all messages, and reorder them."""
 
     drop: float = 0.0
     duplicate: float = 0.0
@@ -307,7 +307,7 @@
 
 
 class StoreStep(_Step, frozen=True, tag="store"):
-    """One of `down`, `up`, `save`, `go_back` and `lose_answer`."""
+    """Inject a fault of the store: `down`, `up`, `save`, `go_back` or `lose_answer`."""
 
     fault: str
 
@@ -329,7 +329,7 @@
 
 
 class Edit(_Step, frozen=True, tag="edit"):
-    """Edit rows by site; `outcome` is what the operator must be told."""
+    """Edit the row of a site; `outcome` is the expected result of the edit."""
 
     site: str
     weight: int | None = None
@@ -360,7 +360,7 @@
 
 
 class InForce(_Step, frozen=True, tag="in_force"):
-    """Wait until every running process follows at least a revision."""
+    """Wait until every running process has at least a revision in force."""
 
     revision: int
     within: float = 5.0
@@ -383,7 +383,7 @@
 
 
 class ShareIs(_Step, frozen=True, tag="share"):
-    """Wait until what a site's gates may run together is within bounds."""
+    """Wait until the sum of the shares of a site's gates is within bounds."""
 
     site: str
     at_least: int = 0
@@ -398,7 +398,7 @@
 
 
 class ShareStays(_Step, frozen=True, tag="share_stays"):
-    """For some seconds a host's share must not shrink, nor its site's sum pass the limit."""
+    """Check a host's share after some seconds."""
 
     host: str
     running: int
@@ -430,7 +430,7 @@
 
 
 class TasksTake(_Step, frozen=True, tag="tasks_take"):
-    """Set how long tasks that start from now on run."""
+    """Set the range of durations of tasks that start later."""
 
     least: float
     most: float
@@ -440,7 +440,7 @@
 
 
 class StartsAt(_Step, frozen=True, tag="no_start_at"):
-    """For some seconds nothing may start at a host."""
+    """Check that no task starts at a host for some seconds."""
 
     host: str
     seconds: float
@@ -497,7 +497,7 @@
 
 
 class FleetShape(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The `[fleet]` section: what differs from the usual fleet of 3 + 2 targets."""
+    """The `[fleet]` section: differences from the default fleet of 3 + 2 targets."""
 
     sites: dict[str, int] = msgspec.field(default_factory=lambda: {"hall": 3, "depot": 2})
     entries: int = 2
@@ -525,7 +525,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A scenario: what it shows, the rules it is about, the faults in it, and its steps."""
+    """A scenario: its subject, the rules and faults it covers, and its steps."""
 
     about: str
     rules: list[str]
@@ -544,13 +544,13 @@
 
 
 def run(scenario: Scenario) -> Fleet:
-    """Run a scenario; fails at the first step after which a rule is broken."""
+    """Run a scenario; raise `AssertionError` at the first step that violates a rule."""
     fleet = Fleet(scenario.fleet.shape(), scenario.seed)
     for number, step in enumerate(scenario.step):
         try:
             step.run(fleet)
         except AssertionError:
-            # A broken rule says more than the step that it led astray.
+            # A violated rule is reported first, as it explains why the step failed.
             assert not fleet.checker.violations, fleet.checker.violations[0]
             raise
         fleet.check_shares()
@@ -561,20 +561,20 @@
 
 
 def home_of(fleet: Fleet, job: str) -> str:
-    """Return the host that is home of a job."""
+    """Return the host of a job's home."""
     parsed = parse_id(fleet.jobs[job].submission)
     assert isinstance(parsed, SubmissionId)
     return parsed.home.host
 
 
-def other_than_home(fleet: Fleet, job: str) -> str:
-    """Return the first target that is not home of a job."""
+def first_other_target(fleet: Fleet, job: str) -> str:
+    """Return the first target that is not the home of a job."""
     home = home_of(fleet, job)
     targets = [p.host for p in fleet.processes.values() if p.host != home]
     return next(host for host in targets if not host.startswith("entry"))
 
 
 def running_share(fleet: Fleet, site: str) -> int:
-    """Return how many tasks a site's running gates may run together."""
+    """Return the sum of the shares of a site's running gates."""
     gates = [fleet.target(p.host).gate for p in fleet.targets() if p.site == site]
     return sum(gate._share.max_running for gate in gates if gate._share is not None)
--- a/testing/scenarios/test_fault_pairs.py
+++ b/testing/scenarios/test_fault_pairs.py
@@ -1,4 +1,4 @@
-"""Each fault of the brief alone, twice, and with each other one, under load."""
+"""Each fault alone, twice, and combined with each other one, under load."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -81,8 +81,8 @@
 def run_with(faults: list[Callable[[Fleet], None]]) -> Fleet:
     fleet = Fleet(Shape(SITES, max_running=9), seed=3)
     for number, fault in enumerate(faults):
-        for each in range(4):
-            fleet.submit(f"load-{number}-{each}", 8, deadline=12.0)
+        for job in range(4):
+            fleet.submit(f"load-{number}-{job}", 8, deadline=12.0)
         fleet.run(0.15)
         fault(fleet)
         fleet.check_shares()
@@ -92,7 +92,7 @@
 
 def check(fleet: Fleet) -> None:
     assert not fleet.checker.violations, fleet.checker.violations[0]
-    # Every caller came through entry-0, which never dies: each has its answer.
+    # All jobs went through entry-0, which never crashes, so each has an answer.
     assert {job.outcome for job in fleet.jobs.values()} <= ANSWERED
     fleet.submit("after", 6)
     fleet.run(5.0)
--- a/testing/scenarios/test_planted_bugs.py
+++ b/testing/scenarios/test_planted_bugs.py
@@ -1,4 +1,4 @@
-"""Shows that the checker bites: each planted bug breaks the rule that is there to catch it."""
+"""Checks the checker: each planted bug must violate the rule that is meant to detect it."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -21,8 +21,8 @@
 Plant = Callable[[pytest.MonkeyPatch], None]
 
 
-def forget_what_was_seen(patch: pytest.MonkeyPatch) -> None:
-    """A gate takes every copy of a message, however late."""
+def accept_repeated_messages(patch: pytest.MonkeyPatch) -> None:
+    """A gate accepts late and repeated messages."""
     accept_message = Gate._accept_message
 
     def accept_always(self: Gate, now: float, home: Incarnation, *rest: Any) -> _Channel | None:
@@ -34,7 +34,7 @@
 
 
 def forget_refusals(patch: pytest.MonkeyPatch) -> None:
-    """A home that says not run keeps no record of it."""
+    """A home keeps no record of an outcome of not run."""
     close = Home._close
 
     def close_and_forget(self: Home, now: float, job: Job, outcome: Outcome) -> list[Effect]:
@@ -47,12 +47,12 @@
 
 
 def place_lost_tasks_again(patch: pytest.MonkeyPatch) -> None:
-    """A home gives the tasks of a lost target to another one."""
+    """A home sends the tasks of a lost target to another one."""
     patch.setattr(Job, "mark_lost", lambda self, index, why: self.put_back(index))
 
 
-def take_before_given_up(patch: pytest.MonkeyPatch) -> None:
-    """An allotment raises a share as soon as another is lowered."""
+def raise_share_too_early(patch: pytest.MonkeyPatch) -> None:
+    """An allotment raises a share as soon as another is lowered, before its holder adopts that."""
     raise_shares = allotments._raise
 
     def raise_at_once(
@@ -68,7 +68,7 @@
 
 
 def adopt_any_revision(patch: pytest.MonkeyPatch) -> None:
-    """A process follows whatever table it is given."""
+    """A process adopts tables of any revision."""
 
     def adopt(self: TableController, document: TableDocument) -> bool:
         self.document = document
@@ -78,8 +78,8 @@
     patch.setattr(TableController, "adopt_from_store", lambda self, document: self.adopt(document))
 
 
-def answer_in_part(patch: pytest.MonkeyPatch) -> None:
-    """A job counts as complete with one task to go."""
+def answer_partially(patch: pytest.MonkeyPatch) -> None:
+    """A job is complete while one task is unfinished."""
 
     def settled_outcome(self: Job, *, at_deadline: bool, retry_after_ms: int) -> Outcome | None:
         if self.unfinished > 1:
@@ -90,8 +90,8 @@
     patch.setattr(Job, "settled_outcome", settled_outcome)
 
 
-def mix_answers_up(patch: pytest.MonkeyPatch) -> None:
-    """Results are put in the order in which they came."""
+def mix_up_results(patch: pytest.MonkeyPatch) -> None:
+    """Results are in the order of their arrival instead of that of the tasks."""
     finish = Job.finish
 
     def finish_next(self: Job, index: int, *, ok: bool, payload: bytes) -> None:
@@ -103,15 +103,15 @@
 
 
 def start_while_leaving(patch: pytest.MonkeyPatch) -> None:
-    """A leaving gate takes work as before."""
+    """A leaving gate accepts new tasks."""
     patch.setattr(Gate, "leave", lambda self: None)
-    patch.setattr(Home, "update_peers", _view_without_leaving(Home.update_peers))
+    patch.setattr(Home, "update_peers", _update_without_leaving(Home.update_peers))
 
 
-def _view_without_leaving(view: Callable[..., None]) -> Callable[..., None]:
+def _update_without_leaving(update: Callable[..., None]) -> Callable[..., None]:
     def update_peers(self: Home, now: float, peers: object, closed: set[str]) -> None:
         staying = [msgspec.structs.replace(p, leaving=False) for p in peers]  # type: ignore[attr-defined]
-        view(self, now, staying, closed)
+        update(self, now, staying, closed)
 
     return update_peers
 
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize(
     ("plant", "name", "rule"),
     [
-        pytest.param(forget_what_was_seen, "late_copies", "START_ONCE", id="dedup off"),
+        pytest.param(accept_repeated_messages, "late_copies", "START_ONCE", id="dedup off"),
         pytest.param(
             forget_refusals, "deadline_before_any_start", "NOT_RUN_TRUE", id="tombstone off"
         ),
@@ -130,14 +130,14 @@
             id="retry after unknown",
         ),
         pytest.param(
-            take_before_given_up,
+            raise_share_too_early,
             "paused_target_loses_share_to_newcomer",
             "WITHIN_LIMITS",
             id="share taken before given up",
         ),
         pytest.param(adopt_any_revision, "store_went_back", "NO_REVERT", id="lower revision"),
-        pytest.param(answer_in_part, "light_load", "WHOLE_ANSWER", id="partial answer"),
-        pytest.param(mix_answers_up, "light_load", "OWN_ANSWER", id="answers mixed up"),
+        pytest.param(answer_partially, "light_load", "WHOLE_ANSWER", id="partial answer"),
+        pytest.param(mix_up_results, "light_load", "OWN_ANSWER", id="answers mixed up"),
         pytest.param(
             start_while_leaving,
             "planned_stop_under_long_load",
--- a/testing/test_fuzz.py
+++ b/testing/test_fuzz.py
@@ -1,7 +1,7 @@
-"""Random operation of a fleet: whatever comes, in whatever order, the rules must hold.
+"""Random operation of a fleet with faults: the checker's rules must hold in every order of steps.
 
-In CI the seeds are fixed and the runs short; `make fuzz` runs longer with new seeds, and prints the
-steps that broke a rule.
+In CI the seeds are fixed and the runs short; `make fuzz` runs longer with new seeds and prints the
+steps that violated a rule.
 """
 
 import os
@@ -157,7 +157,7 @@
 
 
 class Totals:
-    """What all runs together did, so that a run that tests nothing is noticed."""
+    """Totals of all runs, to detect runs that test nothing."""
 
     tasks = 0
     answers = 0
@@ -167,7 +167,7 @@
 TestFleet.settings = PROFILE
 
 
-def test_fuzzing_did_something(request: pytest.FixtureRequest) -> None:
+def test_fuzzing_started_tasks_and_got_answers(request: pytest.FixtureRequest) -> None:
     if not any("TestFleet" in item.nodeid for item in request.session.items):
         pytest.skip("the machine was not run")
     assert Totals.tasks > 500, Totals.tasks
