--- a/packages/paddleshunt-core/src/paddleshunt_core/checker.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/checker.py
@@ -102,7 +102,7 @@
 
 
 LEAVE_GRACE_SECONDS = 3.0
-"""Seconds after which a leaving target may start nothing more."""
+"""Seconds after which a leaving target must not start any task."""
 
 _SETTLED = frozenset({"complete", "failed", "not_run"})
 
@@ -169,12 +169,12 @@
         tasks = self._tasks.get(name)
         if event.outcome == "complete" and tasks is not None and event.results != tasks:
             self._add_violation(
-                event.time, Rule.WHOLE_ANSWER, f"{name}: {event.results} of {tasks}"
+                event.time, Rule.WHOLE_ANSWER, f"{name}: {event.results} results for {tasks} tasks"
             )
         if not event.right:
             self._add_violation(event.time, Rule.OWN_ANSWER, name)
         if event.outcome == "not_run" and name in self._started:
-            self._add_violation(event.time, Rule.NOT_RUN_TRUE, f"{name} had started")
+            self._add_violation(event.time, Rule.NOT_RUN_TRUE, f"{name} has a task that started")
         if event.outcome not in _SETTLED:
             return
         earlier = self._outcomes.setdefault(name, set())
--- a/packages/paddleshunt-core/src/paddleshunt_core/entry.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/entry.py
@@ -343,7 +343,7 @@
         return Send(Incarnation(host, ""), address, body)
 
     def _member_updates(self, now: float, peer: _Peer | None, *, full: bool) -> list[MemberUpdate]:
-        """Return updates of direct members: all changed ones, and some others in rotation."""
+        """Return updates of changed direct members and, in rotation, some others; all if `full`."""
         if full or peer is None:
             return [self.members.member_update(member, now) for member in self.members.all()]
         direct = self.members.direct()
@@ -368,7 +368,7 @@
         return self._views.view(now, member, sorted(entries), allotment)
 
     def _rank(self, now: float) -> int:
-        """Return how many live entries sort before this one."""
+        """Return how many live entries come before this one, by host name."""
         timeout = 3 * self._settings.heartbeat_seconds
         live = [host for host, peer in self._peers.items() if now - peer.last_received < timeout]
         return len([host for host in live if host < self._me.host])
--- a/packages/paddleshunt-core/src/paddleshunt_core/home.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/home.py
@@ -124,9 +124,9 @@
     def update_peers(self, now: float, peers: Iterable[PeerInfo], closed_sites: set[str]) -> None:
         """Update the service's targets and closed sites from an entry's view."""
         self._closed_sites = closed_sites
-        named: set[Incarnation] = set()
+        listed: set[Incarnation] = set()
         for peer in peers:
-            named.add(peer.incarnation)
+            listed.add(peer.incarnation)
             link = self._link(now, peer)
             link.suspect = peer.suspect
             link.leaving = peer.leaving or link.leaving
@@ -134,9 +134,9 @@
                 link.update_load(now, peer.load, peer.clock_ms)
                 self._placement.record_load(link)
         for incarnation, link in list(self._links.items()):
-            if incarnation not in named and not link.outstanding:
+            if incarnation not in listed and not link.outstanding:
                 del self._links[incarnation]
-            elif incarnation not in named:
+            elif incarnation not in listed:
                 link.suspect = True
 
     def target_ended(self, now: float, incarnation: Incarnation) -> list[Effect]:
@@ -361,7 +361,7 @@
         """Answer the job's entries if its outcome is settled."""
         if job.submission not in self._jobs:
             return []
-        # Only outcomes of stopped jobs carry a retry delay.
+        # Only outcomes of stopped jobs carry a retry delay, so it isn't estimated for others.
         retry_after = (
             self._forecast.wait(now, self._forecast.waiting_tasks()) if job.stopping else 0.0
         )
--- a/testing/scenario.py
+++ b/testing/scenario.py
@@ -351,12 +351,12 @@
                 fleet.hand_over(outcome.document)
 
     def _edited(self, row: Row) -> Row:
-        given = {
+        changes = {
             name: getattr(self, name)
             for name in ("weight", "max_running", "max_in_flight")
             if getattr(self, name) is not None
         }
-        return msgspec.structs.replace(row, **given)
+        return msgspec.structs.replace(row, **changes)
 
 
 class InForce(_Step, frozen=True, tag="in_force"):
--- a/testing/scenarios/test_planted_bugs.py
+++ b/testing/scenarios/test_planted_bugs.py
@@ -133,7 +133,7 @@
             raise_share_too_early,
             "paused_target_loses_share_to_newcomer",
             "WITHIN_LIMITS",
-            id="share taken before given up",
+            id="share raised too early",
         ),
         pytest.param(adopt_any_revision, "store_went_back", "NO_REVERT", id="lower revision"),
         pytest.param(answer_partially, "light_load", "WHOLE_ANSWER", id="partial answer"),
