--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -127,7 +127,7 @@
         """
         self.expire(now)
         returns = [
-            RunnerReturned(LossId.of(incarnation, last.silent_ms))
+            RunnerReturned(LossId.for_incarnation(incarnation, last.silent_ms))
             for incarnation, last in self._returns.items()
         ]
         known = self._losses.values()
