--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/dialer.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/dialer.py
@@ -31,7 +31,7 @@
 class Dialer:
     """Keeps one connection to each wanted address, and dials again when it ends.
 
-    `own` is never dialled; `silence` is the connections' time-out in seconds; `may_dial` is asked
+    `own` is never dialled; `ack_timeout` is the connections' time-out in seconds; `may_dial` is asked
     before each attempt, and `failed` is called with the address after a failed one.
     """
 
@@ -39,13 +39,13 @@
         self,
         handler: PeerHandler,
         own: str,
-        silence: float,
+        ack_timeout: float,
         may_dial: Callable[[str], bool],
         failed: Callable[[str], None] = lambda _: None,
     ) -> None:
         self._handler = handler
         self._own = own
-        self._silence = silence
+        self._ack_timeout = ack_timeout
         self._may_dial = may_dial
         self._failed = failed
         self._wanted: dict[str, float] = {}
@@ -118,7 +118,7 @@
         return True
 
     async def _dial(self, address: str) -> None:
-        link = PeerLink(self._handler, self._silence)
+        link = PeerLink(self._handler, self._ack_timeout)
         # Stored before it opens, as the handler may call `address_of`.
         self._links[address] = link
         loop = asyncio.get_running_loop()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -47,7 +47,7 @@
 ANNOUNCE_DELAY_SECONDS = 0.05
 """Seconds for which new entries are collected before they are announced to targets."""
 
-MIN_SPREAD_INTERVAL_SECONDS = 0.02
+MIN_SYNC_INTERVAL_SECONDS = 0.02
 """Minimum seconds between two steps of spreading a configuration."""
 
 
@@ -77,14 +77,14 @@
     def known_losses(self) -> list[LossUpdate]:
         """Return the recorded losses of runners."""
 
-    def receive_loss(self, news: LossUpdate, source: str) -> None:
+    def receive_loss(self, update: LossUpdate, source: str) -> None:
         """Process another entry's report on a lost runner."""
 
     @property
     def speeds(self) -> Speeds:
         """The measured slowness of each kind of host."""
 
-    def receive_speeds(self, news: SpeedUpdate, source: str) -> None:
+    def receive_speeds(self, update: SpeedUpdate, source: str) -> None:
         """Process another entry's measurements of kinds of hosts."""
 
     def target_count(self) -> int:
@@ -107,7 +107,7 @@
 class EntryPeers:
     """Tracks the other entries, and exchanges gossip with them.
 
-    `hello` is sent over each new connection; `silence` is its time-out in seconds.
+    `hello` is sent over each new connection; `ack_timeout` is its time-out in seconds.
     """
 
     def __init__(
@@ -115,7 +115,7 @@
         owner: PeerOwner,
         own: EntryAddress,
         hello: Hello,
-        silence: float,
+        ack_timeout: float,
         link_mbps: float = LINK_MBPS,
     ) -> None:
         self._owner = owner
@@ -125,17 +125,17 @@
         self._announced: dict[str, EntryAddress] = {own.name: own}
         """The entries last announced to targets, by name."""
         self._announcing = False
-        self._list_turn = 0
-        self.sheds = False
+        self._list_index = 0
+        self.network_overloaded = False
         """Whether this host's link is overloaded, so that deferrable messages are left out."""
-        self._spread = CatalogSync(Random(), link_mbps)
+        self._catalog_sync = CatalogSync(Random(), link_mbps)
         self._requesters: dict[str, PeerLink] = {}
         """Connections of the entries that have requested the configuration, by name."""
         self._packed = PackedCatalog(0, b"")
-        self._spread_timer: asyncio.TimerHandle | None = None
-        self._spread_due = 0.0
+        self._sync_timer: asyncio.TimerHandle | None = None
+        self._sync_due = 0.0
         """When the timer fires."""
-        self._dialer = Dialer(self, own.address, silence, lambda _: True)
+        self._dialer = Dialer(self, own.address, ack_timeout, lambda _: True)
 
     def set_seeds(self, addresses: set[str]) -> None:
         """Replace the addresses that are always dialled."""
@@ -182,16 +182,16 @@
 
     def announce_catalog(self, catalog: Catalog) -> None:
         """Send all entries the version in force; those without another source request it."""
-        self._spread.set_version(catalog.version)
+        self._catalog_sync.set_version(catalog.version)
         self._send_all(CatalogVersion(catalog.version))
 
     def broadcast_evacuations(self, evacuated: EvacuatedHalls) -> None:
         """Send all entries the evacuated halls."""
         self._send_all(EvacuationUpdate(evacuated))
 
-    def broadcast_loss(self, news: LossUpdate) -> None:
+    def broadcast_loss(self, update: LossUpdate) -> None:
         """Send all entries a report on a lost runner."""
-        self._send_all(news)
+        self._send_all(update)
 
     async def dial_forever(self) -> None:
         """Keep a connection to each entry until cancelled."""
@@ -215,10 +215,10 @@
             if learned is not None:
                 self._send_all(learned)
             links = self._dialer.links()
-            if links and not self.sheds:
-                self._list_turn = (self._list_turn + 1) % len(links)
-                links[self._list_turn].send(_sessionless_frame(Entries(self.live())))
-            await asyncio.sleep(SHED_GOSSIP_SECONDS if self.sheds else GOSSIP_SECONDS)
+            if links and not self.network_overloaded:
+                self._list_index = (self._list_index + 1) % len(links)
+                links[self._list_index].send(_sessionless_frame(Entries(self.live())))
+            await asyncio.sleep(SHED_GOSSIP_SECONDS if self.network_overloaded else GOSSIP_SECONDS)
 
     def _send_all(self, *bodies: Body) -> None:
         frame = _sessionless_frame(*bodies)
@@ -243,10 +243,10 @@
     def _handle_version(self, link: PeerLink, offered: CatalogVersion) -> None:
         if offered.wanted:
             self._requesters[link.peer] = link
-            self._spread.on_request(link.peer, offered.version)
+            self._catalog_sync.on_request(link.peer, offered.version)
         else:
-            self._spread.on_version(clock.now(), link.peer, offered.version)
-        self._spread_when_due()
+            self._catalog_sync.on_version(clock.now(), link.peer, offered.version)
+        self._schedule_sync()
 
     def _handle_packed_catalog(self, link: PeerLink, packed: PackedCatalog) -> None:
         try:
@@ -256,29 +256,29 @@
             return
         self._owner.adopt_catalog(catalog, link.peer)
 
-    def _spread_when_due(self) -> None:
-        due = self._spread.due()
+    def _schedule_sync(self) -> None:
+        due = self._catalog_sync.due()
         if due is None:
             return
-        due = max(due, clock.now() + MIN_SPREAD_INTERVAL_SECONDS)
-        if self._spread_timer is not None:
-            if self._spread_due <= due:
+        due = max(due, clock.now() + MIN_SYNC_INTERVAL_SECONDS)
+        if self._sync_timer is not None:
+            if self._sync_due <= due:
                 return
-            self._spread_timer.cancel()
-        self._spread_due = due
+            self._sync_timer.cancel()
+        self._sync_due = due
         loop = asyncio.get_running_loop()
-        self._spread_timer = loop.call_later(due - clock.now(), self._spread_catalog)
+        self._sync_timer = loop.call_later(due - clock.now(), self._sync_catalog)
 
-    def _spread_catalog(self) -> None:
+    def _sync_catalog(self) -> None:
         """Request a configuration, or send copies of it, as far as due."""
-        self._spread_timer = None
-        for step in self._spread.act(clock.now(), may_send=not self.sheds):
+        self._sync_timer = None
+        for step in self._catalog_sync.act(clock.now(), may_send=not self.network_overloaded):
             match step:
                 case RequestCatalog():
                     self._request_catalog(step.peer)
                 case SendCatalog():
                     self._send_catalog(step.peer)
-        self._spread_when_due()
+        self._schedule_sync()
 
     def _request_catalog(self, peer: str) -> None:
         request = CatalogVersion(self._owner.catalog.version, wanted=True)
@@ -294,7 +294,7 @@
             self._packed = pack(catalog)
         size = len(self._packed.content)
         self._requesters.pop(peer).send(_sessionless_frame(self._packed))
-        self._spread.copy_sent(clock.now(), size)
+        self._catalog_sync.copy_sent(clock.now(), size)
         self._owner.catalog_sent(peer, size)
 
     def connection_opened(self, link: PeerLink) -> None:
@@ -352,7 +352,7 @@
 
     def connection_closed(self, link: PeerLink) -> None:
         """Drop the peer's pending request, and dial it again."""
-        self._spread.peer_left(link.peer)
+        self._catalog_sync.peer_left(link.peer)
         self._requesters.pop(link.peer, None)
         self._dialer.redial(link)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -8,7 +8,7 @@
 
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.catalog import EMPTY, Catalog
+from paddleshunt_core.leased.catalog import EMPTY_CATALOG, Catalog
 from paddleshunt_core.leased.catalogsync import LINK_MBPS
 from paddleshunt_core.leased.dispatcher import Dispatcher, Effect
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
@@ -112,7 +112,7 @@
             cold_overrun=bounds.cold_overrun,
             hall_preference=bounds.hall_preference,
         )
-        self.catalog: Catalog = EMPTY
+        self.catalog: Catalog = EMPTY_CATALOG
         self._exchanges: dict[int, Exchange] = {}
         self._caller_server = HttpServer(self)
         self._early_requests = EarlyRequests(_unconfigured)
@@ -120,8 +120,8 @@
         self._frame_due: set[str] = set()
         """Names of targets that are due a frame even if no message is pending."""
         own = EntryAddress(config.name, config.peers, self._incarnation, config.hall)
-        hello, silence = self._hello(0, 0), self._times.session
-        self._peers = EntryPeers(self, own, hello, silence, config.link_mbps)
+        hello, ack_timeout = self._hello(0, 0), self._times.session
+        self._peers = EntryPeers(self, own, hello, ack_timeout, config.link_mbps)
         self._peers.set_seeds(set(config.seeds))
         self._store_follower = StoreFollower(store, context, own, self)
         self._meter = LinkMeter(
@@ -148,7 +148,7 @@
     def describe(self) -> dict[str, object]:
         """Return the state for the dump page."""
         state = self._dispatcher.describe(self._now())
-        if self._peers.sheds:
+        if self._peers.network_overloaded:
             # The targets are by far the largest part of the dump.
             state["targets"] = "left out while the link is pressed"
         return {
@@ -364,18 +364,18 @@
         """Return the recorded losses of runners."""
         return self._dispatcher.known_losses(self._now())
 
-    def receive_loss(self, news: LossUpdate, source: str) -> None:
+    def receive_loss(self, update: LossUpdate, source: str) -> None:
         """Process another entry's report on a lost runner."""
-        self._act(self._dispatcher.handle_loss_update(self._now(), news, source))
+        self._act(self._dispatcher.handle_loss_update(self._now(), update, source))
 
     @property
     def speeds(self) -> Speeds:
         """The measured slowness of each kind of host."""
         return self._dispatcher.speeds
 
-    def receive_speeds(self, news: SpeedUpdate, source: str) -> None:
+    def receive_speeds(self, update: SpeedUpdate, source: str) -> None:
         """Process another entry's measurements of kinds of hosts."""
-        self._act(self._dispatcher.handle_speed_update(self._now(), news, source))
+        self._act(self._dispatcher.handle_speed_update(self._now(), update, source))
 
     def target_count(self) -> int:
         """Return the number of connected targets."""
@@ -448,7 +448,7 @@
         """
         now = self._now()
         level = self._meter.pressure.level
-        self._peers.sheds = level is not PressureLevel.NORMAL
+        self._peers.network_overloaded = level is not PressureLevel.NORMAL
         pressed = level is PressureLevel.PRESSED
         if self._turns_away(now):
             self._unready_since = min(self._unready_since, now)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -45,12 +45,12 @@
 class PeerLink(SharedBufferProtocol):
     """One connection to a peer; `peer` is its name, empty until its hello arrives.
 
-    `silence` is the time-out of unacknowledged data, in seconds.
+    `ack_timeout` is the time-out of unacknowledged data, in seconds.
     """
 
-    def __init__(self, handler: PeerHandler, silence: float) -> None:
+    def __init__(self, handler: PeerHandler, ack_timeout: float) -> None:
         self._handler = handler
-        self._silence = silence
+        self._ack_timeout = ack_timeout
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
         self.peer = ""
@@ -63,7 +63,7 @@
         """Configure the new connection and notify the handler."""
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
-        set_socket_options(transport, self._silence)
+        set_socket_options(transport, self._ack_timeout)
         self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
@@ -63,7 +63,7 @@
         """Add a gauge; `read` is called for each page."""
         self._gauges[name] = (doc, read)
 
-    def family(self, name: str, doc: str, read: Callable[[], Labelled]) -> None:
+    def labelled_gauge(self, name: str, doc: str, read: Callable[[], Labelled]) -> None:
         """Add a gauge with labels; `read` is called for each page."""
         self._families[name] = (doc, read)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -45,14 +45,14 @@
     """
     split_address(address)
     loop = asyncio.get_running_loop()
-    listener = listening.take(address)
+    listener = listening.take_listener(address)
     return await loop.create_server(factory, sock=listener, backlog=listening.BACKLOG)
 
 
-def set_socket_options(transport: asyncio.BaseTransport, silence: float) -> None:
-    """Disable Nagle's algorithm, and limit unacknowledged data to `silence` seconds."""
+def set_socket_options(transport: asyncio.BaseTransport, ack_timeout: float) -> None:
+    """Disable Nagle's algorithm, and limit unacknowledged data to `ack_timeout` seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(silence * 1000))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(ack_timeout * 1000))
--- a/packages/paddleshunt-node/src/paddleshunt_node/listening.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/listening.py
@@ -15,12 +15,12 @@
 
 
 def listen_early(addresses: Iterable[str]) -> None:
-    """Listen at these addresses (host:port) until `take` hands them out; raises `OSError`."""
+    """Listen at these addresses (host:port) until `take_listener` hands them out; raises `OSError`."""
     for address in addresses:
         _early[address] = _listen(address)
 
 
-def take(address: str) -> socket.socket:
+def take_listener(address: str) -> socket.socket:
     """Return a socket that listens at host:port, an early one if there is; raises `OSError`."""
     early = _early.pop(address, None)
     return _listen(address) if early is None else early
--- a/packages/paddleshunt-node/src/paddleshunt_node/main.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/main.py
@@ -11,7 +11,7 @@
 from paddleshunt_platform import settings
 
 from paddleshunt_node import logs
-from paddleshunt_node.lean import leave_out_tls
+from paddleshunt_node.tlsimports import block_tls_imports
 
 BAD_SETTINGS = 2
 """Exit status when the settings can't be used."""
@@ -45,7 +45,7 @@
 def entry(file: Path) -> None:
     """Run an entry: the HTTP side for callers and operators."""
     chosen = _checked(lambda: settings.load_entry(file))
-    leave_out_tls([chosen.platform.store, chosen.platform.hosts])
+    block_tls_imports([chosen.platform.store, chosen.platform.hosts])
     from paddleshunt_node.entryprocess import EntryProcess
 
     logs.set_up(chosen.log.level)
@@ -57,7 +57,7 @@
 def target(file: Path) -> None:
     """Run a target: the process beside one runner."""
     chosen = _checked(lambda: settings.load_target(file))
-    leave_out_tls([chosen.platform.hosts, chosen.runner.url])
+    block_tls_imports([chosen.platform.hosts, chosen.runner.url])
     from paddleshunt_node.targetprocess import TargetProcess
 
     logs.set_up(chosen.log.level)
--- a/packages/paddleshunt-node/src/paddleshunt_node/early.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/reloadsignal.py
@@ -10,13 +10,13 @@
 _asked = False
 
 
-def note_reloads() -> None:
+def record_reload_requests() -> None:
     """Note SIGHUP from now on, until another handler takes its place."""
     signal.signal(signal.SIGHUP, _note)
 
 
-def reload_was_asked() -> bool:
-    """Whether SIGHUP came since `note_reloads`."""
+def reload_requested() -> bool:
+    """Whether SIGHUP came since `record_reload_requests`."""
     return _asked
 
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/lean.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/tlsimports.py
@@ -11,7 +11,7 @@
 _TLS_MODULES = ("ssl", "_ssl", "_hashlib")
 
 
-def leave_out_tls(urls: Iterable[str | None]) -> None:
+def block_tls_imports(urls: Iterable[str | None]) -> None:
     """Keep TLS from being imported, unless one of `urls` needs it. Call before the imports."""
     if any(url is not None and url.startswith("https:") for url in urls):
         return
--- a/testing/node/test_listening.py
+++ b/testing/node/test_listening.py
@@ -29,7 +29,7 @@
     listening.listen_early([address])
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port))) as client:
-        listener = listening.take(address)
+        listener = listening.take_listener(address)
         taken, _ = listener.accept()
         client.sendall(b"job")
         assert taken.recv(3) == b"job"
@@ -38,7 +38,7 @@
 
 
 def test_an_address_that_was_not_listened_on_early_is_listened_on_when_taken(address: str) -> None:
-    listener = listening.take(address)
+    listener = listening.take_listener(address)
     assert connected(address)
     listener.close()
 
