--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalog.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalog.py
@@ -51,4 +51,4 @@
     limits: RequestLimits = RequestLimits()
 
 
-EMPTY = Catalog(0, [], [])
+EMPTY_CATALOG = Catalog(0, [], [])
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/queueindex.py
@@ -2,14 +2,14 @@
 
 from typing import final
 
-from paddleshunt_core.leased.catalog import EMPTY, Catalog, Queue
+from paddleshunt_core.leased.catalog import EMPTY_CATALOG, Catalog, Queue
 
 
 @final
 class QueueIndex:
     """The queues of one configuration, indexed by host name."""
 
-    def __init__(self, catalog: Catalog = EMPTY) -> None:
+    def __init__(self, catalog: Catalog = EMPTY_CATALOG) -> None:
         self._catalog = catalog
         self._by_host: dict[str, list[Queue]] = {}
         for queue in catalog.queues:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -8,7 +8,7 @@
 
 from paddleshunt_core.events import Log
 from paddleshunt_core.leased.bounds import Bounds, lease_times
-from paddleshunt_core.leased.catalog import EMPTY, Catalog
+from paddleshunt_core.leased.catalog import EMPTY_CATALOG, Catalog
 from paddleshunt_core.leased.catalogsync import LINK_MBPS
 from paddleshunt_core.leased.dispatcher import Dispatcher, Effect
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
@@ -112,7 +112,7 @@
             cold_overrun=bounds.cold_overrun,
             hall_preference=bounds.hall_preference,
         )
-        self.catalog: Catalog = EMPTY
+        self.catalog: Catalog = EMPTY_CATALOG
         self._exchanges: dict[int, Exchange] = {}
         self._caller_server = HttpServer(self)
         self._early_requests = EarlyRequests(_unconfigured)
--- a/testing/council/test_turned_away.py
+++ b/testing/council/test_turned_away.py
@@ -4,7 +4,7 @@
 
 import pytest
 from councilsystem import until_true
-from paddleshunt_core.leased.catalog import EMPTY, Catalog
+from paddleshunt_core.leased.catalog import EMPTY_CATALOG, Catalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_council.store import ENTRIES_PREFIX, Store
@@ -39,7 +39,7 @@
 class Owner:
     """An entry that knows others."""
 
-    catalog = EMPTY
+    catalog = EMPTY_CATALOG
 
     def adopt_catalog(self, catalog: Catalog, source: str) -> None:
         self.catalog = catalog
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from paddleshunt_core.leased.catalog import EMPTY, Catalog
+from paddleshunt_core.leased.catalog import EMPTY_CATALOG, Catalog
 from paddleshunt_core.leased.catalogsync import REQUEST_DELAY_SECONDS
 from paddleshunt_core.leased.evacuation import EvacuatedHalls, Evacuations
 from paddleshunt_core.leased.refusals import InputKind, Refusal
@@ -53,7 +53,7 @@
     """A `PeerOwner` that records its calls."""
 
     def __init__(self) -> None:
-        self.catalog: Catalog = EMPTY
+        self.catalog: Catalog = EMPTY_CATALOG
         self.evacuations = Evacuations()
         self.notified: list[EntryChanges] = []
         self.target_counts: list[tuple[int, str]] = []
--- a/testing/node/aio/test_storefollower.py
+++ b/testing/node/aio/test_storefollower.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from paddleshunt_core.leased.catalog import EMPTY, Catalog
+from paddleshunt_core.leased.catalog import EMPTY_CATALOG, Catalog
 from paddleshunt_core.leased.evacuation import EvacuatedHalls
 from paddleshunt_core.leased.wire import EntryAddress
 from paddleshunt_node.aio.logwriter import LogWriter
@@ -44,7 +44,7 @@
 
 
 class Owner:
-    catalog = EMPTY
+    catalog = EMPTY_CATALOG
 
     def __init__(self) -> None:
         self.calls: list[str] = []
