--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -149,7 +149,7 @@
         return self.session / 2
 
     @property
-    def lapse(self) -> float:
+    def echo_expiry(self) -> float:
         """Time from an entry's last echo until a target starts nothing more for it."""
         return self.session * (1 + CLOCK_DRIFT) + CLOCK_MARGIN
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targets.py
@@ -152,7 +152,7 @@
         """
         if self.session is None:
             return True
-        return placed_at <= self.session.renewed_ms / 1000 + times.lapse
+        return placed_at <= self.session.renewed_ms / 1000 + times.echo_expiry
 
     def can_accept(self, now: float, service: str, times: LeaseTimes) -> bool:
         """Whether tasks of `service` may be sent there."""
--- a/testing/core/leased/test_livenesschecks.py
+++ b/testing/core/leased/test_livenesschecks.py
@@ -20,7 +20,7 @@
 def _is_lapsed(fleet: Fleet, target: str) -> bool:
     session = fleet.dispatchers["e0"].session(target)
     assert session is not None
-    return fleet.now > session.renewed_ms / 1000 + fleet.times.lapse
+    return fleet.now > session.renewed_ms / 1000 + fleet.times.echo_expiry
 
 
 def starts(fleet: Fleet) -> dict[str, int]:
