--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -144,9 +144,7 @@
             logs += self._retract(now, update.loss, targets)
         return True, logs
 
-    def follow(
-        self, now: float, targets: Iterable[TargetRecord], room: TargetSnapshot
-    ) -> list[Log]:
+    def tick(self, now: float, targets: Iterable[TargetRecord], room: TargetSnapshot) -> list[Log]:
         """Release or widen queues as time passes; `targets` are those in halls not evacuated."""
         known = list(targets)
         logs = self._process_new_evidence(now, lambda: known)
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/dispatcher.py
@@ -418,7 +418,7 @@
             effects += self._check_target(now, target)
         self._speeds.tick(now, self._targets.values())
         if self._containment.depends_on_time:
-            effects += self._containment.follow(now, self._open_targets(), self._snapshot(now))
+            effects += self._containment.tick(now, self._open_targets(), self._snapshot(now))
         effects += self._place(now)
         snapshot = self._snapshot(now) if self.confined_queues else None
         for job in self._jobs.all():
--- a/testing/core/leased/test_silences.py
+++ b/testing/core/leased/test_silences.py
@@ -56,7 +56,7 @@
 
     def advance(self, at: float) -> list[Log]:
         """Advance the containment to a time."""
-        return self.containment.follow(at, self.targets, TargetSnapshot(at, self.targets, TIMES))
+        return self.containment.tick(at, self.targets, TargetSnapshot(at, self.targets, TIMES))
 
     def confined(self) -> dict[str, object]:
         """Return the confined queues, and how many further losses each had."""
