--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bounds.py
@@ -18,11 +18,11 @@
 RECONNECT_SHARE = 0.55
 """Share of the session lease without a message after which the connection is reopened.
 
-By then two heartbeats of the target are unanswered, and enough of the lease is left to continue.
+That is almost two heartbeat intervals, and leaves enough of the lease to continue.
 """
 
 HALL_PREFERENCE = 0.2
-"""Weight of a transfer between halls in placement, as a share of a runner's capacity."""
+"""Default weight of a transfer between halls in placement, as a share of a runner's capacity."""
 
 COLD_OVERRUN = 1.5
 """Default ratio of a task's run times on a cold and a warm runner."""
@@ -35,7 +35,7 @@
 """
 
 IDLE_HEARTBEAT_SESSIONS = 2.0
-"""Minimum time between these heartbeats in session leases; one must expire between two of them."""
+"""Minimum time between these heartbeats, in session leases: one must expire in between."""
 
 MAX_SILENT_HEARTBEATS = 2.0
 """Heartbeat intervals for which a target may be silent and still get new tasks."""
@@ -95,8 +95,8 @@
     def late_hold_max(self) -> float:
         """Longest lease that a runner grants on an order meant for its previous incarnation.
 
-        That incarnation's clock may have been ahead, so only `hold_max` limits the lease, on a
-        clock that may be slow for longer than `overrun` covers.
+        That incarnation's clock may have been ahead, so the lease is limited by `hold_max` only.
+        `overrun` covers the clock drift of `hold` only, so the drift of the rest is added.
         """
         return self.hold_max + (self.hold_max - self.hold) * CLOCK_DRIFT
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/bulkhead.py
@@ -33,7 +33,7 @@
         self._eligible_once: set[str] = set()
         """Targets that were eligible at some time."""
         self._down_since: dict[str, float] = {}
-        """When the runner of a target that was eligible went down."""
+        """When the runner of each target was first seen down."""
         self.members: frozenset[str] = frozenset()
         self.eligible_count = 0
         """Number of eligible targets of the service, inside the bulkhead or outside."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalog.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalog.py
@@ -9,8 +9,9 @@
 class Queue(msgspec.Struct, frozen=True, array_like=True):
     """A queue of jobs: the requests it accepts, and the service that runs its tasks.
 
-    A job's target latency is `stretch` times its longest chain of work plus `latency`, in seconds.
-    Lower `priority` numbers go first.
+    It accepts requests to `host` whose path starts with `prefix`. A job's latency objective is
+    `stretch` times its longest chain of work plus `latency`, in seconds. Lower
+    `priority` numbers go first.
     """
 
     name: str
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/catalogsync.py
@@ -1,10 +1,10 @@
 """Distribution of the configuration between entries.
 
-The store notifies each entry of a new configuration. Entries send each other only the version that
-is in force; one that is still behind after a short delay requests the whole from one other entry.
-An entry sends one copy after another, at a limited share of its own link, so the bytes on each link
-grow with the configuration and not with the number of entries. Each receiver can send copies in
-turn, so that many are served soon even if the store notified only one.
+The store notifies each entry of a new configuration. Entries send each other only the number of the
+version in force; one that is still behind after a short delay requests the whole configuration from
+one other entry. An entry sends one copy after another, at a limited share of its own link, so the
+bytes on each link grow with the configuration and not with the number of entries. Each receiver can
+send copies in turn, so that many are served soon even if the store notified only one.
 """
 
 from collections import deque
@@ -53,7 +53,7 @@
 
 @final
 class CatalogSync:
-    """The state machine of one entry. Times are in monotonic seconds.
+    """State machine of one entry's part in the distribution. Times are in monotonic seconds.
 
     `link_mbps` is the bandwidth of its own link.
     """
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -22,13 +22,13 @@
 from paddleshunt_core.leased.wire import LossId, LossUpdate, RunnerReturned
 
 QUIET_SECONDS = 1.5
-"""Seconds without a loss, with a usable target, after which a queue gets more targets."""
+"""Seconds without a loss, while one of its targets is usable, after which a queue gets more."""
 
 MAX_RETRY_SECONDS = 10.0
 """Longest `Retry-After` for a refused job, in seconds."""
 
 EXPLAINED_RATIO = 10.0
-"""Ratio of two queues' probabilities from which the lower one explains the other's losses.
+"""Ratio of two queues' probabilities from which the lower one's queue explains the other's.
 
 Two queues that both crash runners don't differ that much. A queue whose tasks only ran beside the
 crashing ones does.
@@ -63,12 +63,13 @@
     quiet_seconds: float = 0.0
     """Seconds without a loss at this width."""
     checked_at: float = 0.0
+    """When `quiet_seconds` was last updated."""
     losses: int = 0
     """Further losses since it was confined."""
-    cleared: dict[str, float] = field(default_factory=dict)
+    explained_queues: dict[str, float] = field(default_factory=dict)
     """Queues released because this one explains their losses, with their `since` at that time."""
 
-    def lost(self, now: float) -> None:
+    def record_loss(self, now: float) -> None:
         """Record a further loss: back to the fewest targets, and the quiet period starts over."""
         self.losses += 1
         self.width = 1
@@ -144,12 +145,14 @@
             logs += self._retract(now, update.loss, targets)
         return True, logs
 
-    def tick(self, now: float, targets: Iterable[TargetRecord], room: TargetSnapshot) -> list[Log]:
+    def tick(
+        self, now: float, targets: Iterable[TargetRecord], snapshot: TargetSnapshot
+    ) -> list[Log]:
         """Release or widen queues as time passes; `targets` are those in halls not evacuated."""
         known = list(targets)
         logs = self._process_new_evidence(now, lambda: known)
         for queue, confined in list(self._confined.items()):
-            usable = room.usable(confined.bulkhead.service)
+            usable = snapshot.usable(confined.bulkhead.service)
             logs += self._advance(now, queue, confined, known, usable)
         return logs
 
@@ -161,8 +164,9 @@
         """Return the usable targets that a job may run on.
 
         Jobs of other queues run on a confined queue's targets only if there is no room elsewhere.
-        Tasks that were running on a lost runner are retried on targets that no other such queue
-        uses, so that a task that crashes a second runner can be distinguished from those beside it.
+        Tasks that were running on a lost runner are retried on targets that no other queue with
+        lost tasks uses, so that a task that crashes a second runner can be distinguished from those
+        beside it.
         """
         confined = self._confined.get(job.queue.name)
         if confined is not None:
@@ -171,9 +175,9 @@
             return self._separated(job, usable) or usable
         if not self._confined:
             return usable
-        walled = frozenset[str]().union(*(c.bulkhead.members for c in self._confined.values()))
-        rest = [target for target in usable if target.name not in walled]
-        return rest if any(_has_room(job, target) for target in rest) else usable
+        reserved = frozenset[str]().union(*(c.bulkhead.members for c in self._confined.values()))
+        others = [target for target in usable if target.name not in reserved]
+        return others if any(_has_room(job, target) for target in others) else usable
 
     def may_use_other_targets(self, job: JobRecord) -> bool:
         """Whether tasks that don't fit on the allowed targets may use any usable one."""
@@ -197,17 +201,22 @@
             return False
         return self._was_lost(job)
 
-    def refusal_delay(self, job: JobRecord, room: TargetSnapshot) -> float | None:
+    def refusal_delay(self, job: JobRecord, snapshot: TargetSnapshot) -> float | None:
         """Return the seconds after which to retry a job that can't run now; None if it can."""
         confined = self._confined.get(job.queue.name)
         if confined is None:
             return None
-        if any(_can_run(job, t) for t in self.allowed_targets(job, room.usable(job.queue.service))):
+        if any(
+            _can_run(job, t) for t in self.allowed_targets(job, snapshot.usable(job.queue.service))
+        ):
             return None
         return min(MAX_RETRY_SECONDS, confined.seconds_to_release())
 
     def _separated(self, job: JobRecord, usable: list[TargetRecord]) -> list[TargetRecord]:
-        """Return the targets with room that are assigned to this queue among those with losses."""
+        """Return the targets with room that are assigned to the job's queue.
+
+        Rendezvous hashing assigns each target to one of the service's queues with losses.
+        """
         service = job.queue.service
         queues = [
             q for q in self._evidence_log.queues_with_losses() if self._services.get(q) == service
@@ -229,7 +238,7 @@
             return []
         for queue in set[str]().union(*map(self._evidence_log.queues_on, new)):
             if queue in self._confined:
-                self._confined[queue].lost(now)
+                self._confined[queue].record_loss(now)
         return self._confine(now, targets, self._evidence_log.queues_with_repeat_losses(new))
 
     def _retract(self, now: float, returned: LossId, targets: TargetSource) -> list[Log]:
@@ -240,8 +249,8 @@
             discounted = self._evidence_log.discounted(now, confined.evidence.losses)
             if not discounted:
                 continue
-            known = confined.bulkhead.eligible_count
-            left = self._evidence_log.evidence_against(now, queue, confined.since, known, ())
+            eligible = confined.bulkhead.eligible_count
+            left = self._evidence_log.evidence_against(now, queue, confined.since, eligible, ())
             logs.append(_retracted_log(queue, returned, discounted, left))
             if left is not None:
                 confined.evidence = left
@@ -250,7 +259,7 @@
             # The remaining losses may become evidence with the next one, also against the queues
             # that this one seemed to explain.
             self._evidence_since[queue] = confined.since
-            for other, since in confined.cleared.items():
+            for other, since in confined.explained_queues.items():
                 if self._evidence_since[other] == confined.confined_at:
                     self._evidence_since[other] = since
                     reconsidered.add(other)
@@ -286,10 +295,10 @@
                 found.append((queue, bulkhead, evidence))
         return min(found, key=lambda each: (each[2].probability, each[0]), default=None)
 
-    def _evidence(self, now: float, queue: str, targets: int) -> Evidence | None:
+    def _evidence(self, now: float, queue: str, target_count: int) -> Evidence | None:
         """Return the evidence against a queue that confined queues don't explain better."""
         since = self._evidence_since.get(queue, float("-inf"))
-        evidence = self._evidence_log.evidence_against(now, queue, since, targets, ())
+        evidence = self._evidence_log.evidence_against(now, queue, since, target_count, ())
         if evidence is None:
             return None
         worse = [
@@ -297,7 +306,7 @@
             for q, c in self._confined.items()
             if EXPLAINED_RATIO * c.evidence.probability <= evidence.probability
         ]
-        return self._evidence_log.evidence_against(now, queue, since, targets, worse)
+        return self._evidence_log.evidence_against(now, queue, since, target_count, worse)
 
     def _release_explained(self, now: float, queue: str) -> list[Log]:
         """Release the queues whose losses the newly confined one explains."""
@@ -306,9 +315,11 @@
         for other, confined in list(self._confined.items()):
             if other == queue or confined.evidence.probability < EXPLAINED_RATIO * worst:
                 continue
-            known = confined.bulkhead.eligible_count
-            if not self._evidence_log.evidence_against(now, other, confined.since, known, (queue,)):
-                self._confined[queue].cleared[other] = confined.since
+            eligible = confined.bulkhead.eligible_count
+            if not self._evidence_log.evidence_against(
+                now, other, confined.since, eligible, (queue,)
+            ):
+                self._confined[queue].explained_queues[other] = confined.since
                 logs.append(self._release(now, other, f"explained_by_{queue}"))
         return logs
 
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/crashevidence.py
@@ -1,7 +1,7 @@
 """Evidence from lost runners on which queue's tasks crash them.
 
 On a busy fleet every queue has tasks on nearly every runner, so being present at one loss shows
-nothing. A task that crashes runners gives itself away on its retry: it is on a second lost runner,
+nothing. A task that crashes runners is recognized on its retry: it is on a second lost runner,
 soon after its start. A sound task that ran beside it is on a second lost runner only as often as
 any task. So the evidence against a queue is how unlikely its tasks' repeat losses are by chance.
 
@@ -33,9 +33,9 @@
 """Highest probability of a queue's repeat losses by chance at which it is held responsible."""
 
 MIN_PRESENT_SHARE = 0.75
-"""Smallest share of the lost runners that must have run a queue's tasks to blame it.
+"""Smallest share of the lost runners that must have run tasks of a queue held responsible.
 
-Two crashing queues share the losses.
+Below 1, as two queues that crash runners share the losses.
 """
 
 MIN_WORK_SECONDS = 0.02
@@ -69,7 +69,7 @@
     ended: bool = False
     """Whether the incarnation is known to have ended, as a new one runs in its place."""
 
-    def of(self, queue: str) -> dict[TaskId, float]:
+    def run_times(self, queue: str) -> dict[TaskId, float]:
         """Return the run times in seconds of a queue's tasks."""
         return self.work.get(queue, {})
 
@@ -153,13 +153,13 @@
     def discounted(self, now: float, losses: Iterable[LossId]) -> set[LossId]:
         """Return the losses that no longer count as evidence, other than by age."""
         evident = {each.loss for each in self._counting(now)}
-        known = self._silences.keys() - evident
-        return {loss for loss in losses if self.has_returned(loss) or loss in known}
+        pending = self._silences.keys() - evident
+        return {loss for loss in losses if self.has_returned(loss) or loss in pending}
 
     def queues_with_repeat_losses(self, losses: Collection[LossId] | None = None) -> set[str]:
         """Return the queues with a task on two lost runners, one of them in `losses` if given.
 
-        Only against these queues there can be evidence.
+        Only these queues can have evidence against them.
         """
         seen = (
             self._silences.values() if losses is None else [self._silences[loss] for loss in losses]
@@ -184,31 +184,31 @@
         return task in self._loss_counts
 
     def evidence_against(
-        self, now: float, queue: str, since: float, targets: int, explained: Collection[str]
+        self, now: float, queue: str, since: float, target_count: int, explaining: Collection[str]
     ) -> Evidence | None:
         """Return the evidence against a queue from losses after `since`; None if it is too weak.
 
-        `targets` is the number of known runners of its service. Losses of runners that ran a task
-        of one of the `explained` queues don't count.
+        `target_count` is the number of known runners of its service. Losses of runners that ran a
+        task of one of the `explaining` queues don't count.
         """
         self._expire(now)
         seen = [
             each
             for each in self._counting(now)
-            if each.learned_at > since and not any(each.of(other) for other in explained)
+            if each.learned_at > since and not any(each.run_times(other) for other in explaining)
         ]
         seen.sort(key=lambda each: each.learned_at)
         repeats = _repeat_losses(queue, seen)
         if not repeats:
             return None
-        present = [each for each in seen if each.of(queue)]
+        present = [each for each in seen if each.run_times(queue)]
         if len(present) < MIN_PRESENT_SHARE * len(seen):
             return None
-        # The tasks of a lost runner are retried, each on one runner, where as many losses hit them
-        # by chance as happen during their run time.
-        rate = (len(seen) - len(repeats)) / (WINDOW_SECONDS * max(1, targets))
+        # Repeat losses expected by chance: losses per runner and second, times the lost runners
+        # whose tasks may have been retried, times the run time of a retry.
+        rate = (len(seen) - len(repeats)) / (WINDOW_SECONDS * max(1, target_count))
         retried = sum(each.learned_at <= now - self._restart_seconds for each in present)
-        length = 2 * _median([worked for each in seen for worked in each.of(queue).values()])
+        length = 2 * _median([worked for each in seen for worked in each.run_times(queue).values()])
         probability = _lowest_probability(
             [rate * retried * min(each.worked, length) for each in repeats]
         )
@@ -220,8 +220,8 @@
     def _counting(self, now: float) -> list[_Silence]:
         """Return the silences that count as evidence now.
 
-        An incarnation that returned lately may do so again, and so may any while most return: of
-        these, only silences count that have lasted longer than returns take.
+        An incarnation that returned lately may return again; while most return, any may. The
+        silences of those count only once they have lasted longer than returns take.
         """
         lately_returned = {
             incarnation
@@ -229,14 +229,14 @@
             if at >= now - WINDOW_SECONDS
         }
         still_silent = {loss.incarnation for loss in self._silences} - lately_returned
-        mostly_back = len(lately_returned) >= len(still_silent)
-        outlasted = now - RETURN_WAIT_LEASES * self._restart_seconds
+        most_return = len(lately_returned) >= len(still_silent)
+        long_silent_since = now - RETURN_WAIT_LEASES * self._restart_seconds
         return [
             each
             for each in self._silences.values()
             if each.ended
-            or each.learned_at <= outlasted
-            or not (mostly_back or each.loss.incarnation in lately_returned)
+            or each.learned_at <= long_silent_since
+            or not (most_return or each.loss.incarnation in lately_returned)
         ]
 
     def _add(
@@ -304,9 +304,11 @@
 
 
 def _lowest_probability(expected: list[float]) -> float:
-    """Return the lowest probability by chance of any number of repeat losses.
+    """Return the lowest probability by chance, over all n, of the n repeat losses after least work.
 
-    The n-th item of `expected` is the expected number of losses with runs as short as the n-th.
+    The n-th item of `expected` is the number expected by chance with runs as short as the n-th.
+    That number is taken to be Poisson-distributed: n or more have at most a probability of
+    `expected**n / n!`.
     """
     least, factorial = 1.0, 1
     for count, mean in enumerate(expected, 1):
@@ -318,8 +320,8 @@
 def _repeat_losses(queue: str, seen: list[_Silence]) -> list[_RepeatLoss]:
     """Return the repeat losses of a queue's tasks, the shortest run first.
 
-    Of runners that fell silent together only the one with the shortest run counts. A runner with
-    repeat losses of several queues counts for none.
+    Of runners that fell silent within `CORRELATION_SECONDS`, only the one with the shortest run
+    counts. A runner with repeat losses of several queues counts for none.
     """
     first_loss: dict[TaskId, tuple[int, LossId]] = {}
     shortest: dict[int, _RepeatLoss] = {}
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/evacuation.py
@@ -47,8 +47,8 @@
 
     def supersedes(self, received: EvacuatedHalls) -> bool:
         """Whether the sender of `received` needs an update, as its set is older and differs."""
-        later = received.revision < self._known.revision
-        return later and set(received.halls) != set(self._known.halls)
+        outdated = received.revision < self._known.revision
+        return outdated and set(received.halls) != set(self._known.halls)
 
 
 def evacuation_log(evacuations: Evacuations, source: str) -> Log:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -1,8 +1,8 @@
 """Detection of congestion on a host's own link, and the load to shed meanwhile.
 
 It is given samples of the unsent bytes on all connections a few times per second. A wait counts
-only if the host's own link causes it: several connections must hold bytes, among them most of those
-written to, and the peers' echoes, if any, must be late too. A peer that doesn't read or is
+only if the host's own link causes it: several connections must hold bytes, at least half of
+the active ones, and the peers' echoes, if any, must be late too. A peer that doesn't read or is
 unreachable holds up its own connection only.
 """
 
@@ -32,7 +32,7 @@
 """Minimum seconds at a level, for shedding to take effect."""
 
 READY_DELAY_SECONDS = 3.0
-"""Seconds without pressure after which new connections are accepted again.
+"""Seconds after the level was PRESSED last at which new connections are accepted again.
 
 The load balancer can't follow readiness that changes faster.
 """
@@ -41,7 +41,7 @@
 """Connections that must hold bytes at once; fewer may be unreachable peers."""
 
 MIN_HOLDING_SHARE = 0.5
-"""Share of the active connections that must hold bytes; an unreachable hall is a smaller one."""
+"""Share of the active connections that must hold bytes; fewer may lead to a lost hall."""
 
 MIN_RATE = 12_500.0
 """Lowest link rate assumed, in bytes per second."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/losses.py
@@ -32,7 +32,7 @@
 """
 
 CORRELATED_LOSSES = 2
-"""Other runners without a task of the same job that are lost with one by an external cause.
+"""Other losses within that time, without a task of the same job, that show an external cause.
 
 Two tasks that crash their runners may coincide; three within that time are rare.
 """
@@ -40,7 +40,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Entry:
+class _Loss:
     """A loss, when its sender learned of it, and from when its retention counts."""
 
     learned_at: float
@@ -66,7 +66,7 @@
     """
 
     def __init__(self) -> None:
-        self._losses: dict[RunnerIncarnation, _Entry] = {}
+        self._losses: dict[RunnerIncarnation, _Loss] = {}
         """By incarnation, in the order in which they were learned."""
         self._by_task: dict[TaskId, list[RunnerIncarnation]] = {}
         self._returns: dict[RunnerIncarnation, _Return] = {}
@@ -96,7 +96,7 @@
                     return False
                 at = known.learned_at
             self._forget(incarnation)
-        self._losses[incarnation] = _Entry(at, lost, at)
+        self._losses[incarnation] = _Loss(at, lost, at)
         for task in lost.tasks:
             self._by_task.setdefault(task, []).append(incarnation)
         if len(self._losses) > MAX_LOSSES:
@@ -121,9 +121,10 @@
         return True
 
     def export(self, now: float) -> list[LossUpdate]:
-        """Return all losses for other processes, each with the time since it was learned.
+        """Return all losses and returns as messages for other processes.
 
-        Returns are included, as a receiver that knows only the loss would count it.
+        A loss carries the time since its retention started. Returns are included, as a
+        receiver that knows only the loss would count it.
         """
         self.expire(now)
         returns = [
@@ -141,8 +142,8 @@
         for incarnation, known in list(self._losses.items()):
             if now >= known.kept_since + RETENTION_SECONDS:
                 self._forget(incarnation)
-        for incarnation, returns in list(self._returns.items()):
-            if now < returns.learned_at + RETENTION_SECONDS:
+        for incarnation, last_return in list(self._returns.items()):
+            if now < last_return.learned_at + RETENTION_SECONDS:
                 break
             del self._returns[incarnation]
 
@@ -177,8 +178,8 @@
 
     def _has_returned(self, loss: LossId) -> bool:
         """Whether the incarnation is known to have answered since that loss."""
-        returns = self._returns.get(loss.incarnation)
-        return returns is not None and loss.silent_ms <= returns.silent_ms
+        last_return = self._returns.get(loss.incarnation)
+        return last_return is not None and loss.silent_ms <= last_return.silent_ms
 
     def _forget(self, incarnation: RunnerIncarnation) -> None:
         for task in self._losses.pop(incarnation).lost.tasks:
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/runtimeestimator.py
@@ -23,7 +23,7 @@
 
     def predict(self, queue: Queue, request: JobRequest) -> JobPrediction:
         """Return the expected length of a job's tasks, and the job's probable age."""
-        return self._lengths.of(queue.name).predict(request.estimate, request.deadline)
+        return self._lengths.for_queue(queue.name).predict(request.estimate, request.deadline)
 
     def task_completed(
         self, now: float, job: JobRecord, task: TaskRecord, target: TargetRecord
@@ -40,7 +40,9 @@
         work = work_seconds(now - task.placed_at) / self._placement.locality_factor(job, target)
         task.work, task.ran_on = work, target.runner_incarnation
         normalized = work * self._speeds.typical_slowness(job.queue.service) / target.slowness
-        self._lengths.of(job.queue.name).observe(request.estimate, request.deadline, normalized)
+        self._lengths.for_queue(job.queue.name).observe(
+            request.estimate, request.deadline, normalized
+        )
 
     def compare_tasks(self, job: JobRecord, targets: Mapping[str, TargetRecord]) -> None:
         """Update host speeds from the run times of a completed job's tasks."""
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/speeds.py
@@ -1,7 +1,7 @@
 """Relative slowness of hosts by kind, learned from completions and shared between entries.
 
-A kind's factor is the ratio of task times on it and elsewhere; a runner's difference from its kind
-is its own deviation (`TargetRecord.deviation`). Both come from comparing the tasks of one job,
+A kind's factor is the ratio of task times on it to those elsewhere; a runner's difference from its
+kind is its own deviation (`TargetRecord.deviation`). Both come from comparing the tasks of one job,
 which are alike, so a wrong expected length doesn't affect them. That matters because tasks expected
 to be short are the ones placed on slow hosts. Expected lengths refer to a typical host
 (`typical_slowness`, the mean over the known targets).
@@ -33,16 +33,16 @@
 """Weight of a task's time against its expected length, for the deviation, if it ran alone."""
 
 PRIOR_WEIGHT = 1.0
-"""Prior weight, in completions, of a kind being like any other."""
+"""Weight, in completions, of the prior assumption that a kind's factor is 1."""
 
 MAX_STEP = 1.35
-"""Largest ratio to its kind's factor with which a completion counts.
+"""Largest ratio of a task's time to the one that its kind's factor implies; others are clamped.
 
 A few runners that turn slow then hardly affect their kind; their deviation absorbs it.
 """
 
 OUTLIER_DECAY = 0.9
-"""Factor that evidence is multiplied by after a completion beyond that ratio.
+"""Factor that evidence is multiplied by after a completion beyond `MAX_STEP`.
 
 A single slow runner causes few of these. A wrong factor, or a kind that has changed, causes nothing
 else, so the old evidence is soon gone.
@@ -53,16 +53,17 @@
 
 
 HALF_LIFE_SECONDS = 300.0
-"""Seconds without a completion that halve the evidence on a kind.
+"""Seconds in which the evidence on a kind halves.
 
-A factor approaches 1 with its evidence gone.
+A factor approaches 1 as its evidence decays.
 """
 
 AVOIDED_AFTER_SECONDS = 60.0
-"""Seconds without a completion after which a kind is avoided, if others of its service have some.
+"""Seconds without a completion after which a kind is assumed to be avoided.
 
-From then on its difference from those kinds halves in the same time, and so does its own evidence,
-so that a kind that was slow for a while is tried again.
+That requires recent completions on other kinds of its service. From then on its difference from
+those kinds halves in the same time, and so does its own evidence, so that a kind that was slow for
+a while is tried again.
 """
 
 MIN_SHARED_COMPLETIONS = 5.0
@@ -81,10 +82,10 @@
 """Ratio by which a factor must change to be shared again."""
 
 SHARED_GROWTH = 2.0
-"""Ratio by which the completions behind a factor must grow to be shared again."""
+"""Ratio by which own completions of a kind must grow for its factor to be shared again."""
 
 ADOPTION_RATIO = 2.0
-"""Ratio of another entry's evidence and this one's from which it is taken over."""
+"""Ratio of another entry's evidence to this entry's above which the other's is adopted."""
 
 REFRESH_SECONDS = 0.5
 """Seconds between two refreshes of all targets."""
@@ -92,7 +93,7 @@
 MAX_COMPARED = 16
 """Tasks of a job that are compared, each with all others."""
 
-MIN_SECONDS = 0.001
+MIN_RUN_SECONDS = 0.001
 """Shortest run time assumed for a task, in seconds."""
 
 MAX_KINDS = 64
@@ -112,7 +113,7 @@
     def __init__(self, target: TargetRecord, kind: Kind, factor: float, work: float) -> None:
         self.target = target
         self.kind = kind
-        baseline = max(MIN_SECONDS, work) / factor
+        baseline = max(MIN_RUN_SECONDS, work) / factor
         self.length = baseline / target.deviation
         """Implied length given the runner's kind and deviation."""
         self.kind_length = baseline
@@ -132,15 +133,16 @@
     """Completions that this entry saw itself."""
     compared: float = 0.0
     """Completions that were compared with others of their job, or came from another entry."""
-    shared: float = 1.0
+    shared_factor: float = 1.0
     """The factor that was shared last."""
     shared_weight: float = 0.0
+    """Value of `own_weight` when the factor was shared last."""
     idle_seconds: float = 0.0
     """Seconds since the last completion."""
 
     @property
     def factor(self) -> float:
-        """Ratio of task times on the kind and elsewhere; near 1 with little evidence."""
+        """Ratio of task times on the kind to those elsewhere; near 1 with little evidence."""
         factor: float = self.raw_factor ** (self.weight / (self.weight + PRIOR_WEIGHT))
         return factor
 
@@ -159,21 +161,21 @@
 
         `others` is the mean factor of the service's kinds in use; None if there is none.
         """
-        left: float = 0.5 ** (seconds / HALF_LIFE_SECONDS)
+        remaining: float = 0.5 ** (seconds / HALF_LIFE_SECONDS)
         self.idle_seconds += seconds
-        self.weight *= left
-        self.own_weight *= left
-        self.compared *= left
+        self.weight *= remaining
+        self.own_weight *= remaining
+        self.compared *= remaining
         if others is not None and self.idle_seconds >= AVOIDED_AFTER_SECONDS:
-            soon: float = 0.5 ** (seconds / AVOIDED_AFTER_SECONDS)
-            self.raw_factor = others * (self.raw_factor / others) ** soon
-            self.own_weight *= soon
+            idle_remaining: float = 0.5 ** (seconds / AVOIDED_AFTER_SECONDS)
+            self.raw_factor = others * (self.raw_factor / others) ** idle_remaining
+            self.own_weight *= idle_remaining
 
-    def is_unshared(self) -> bool:
+    def should_share(self) -> bool:
         """Whether there is enough new evidence to share."""
         if self.own_weight < MIN_SHARED_COMPLETIONS:
             return False
-        changed = not 1 / SHARED_CHANGE <= self.raw_factor / self.shared <= SHARED_CHANGE
+        changed = not 1 / SHARED_CHANGE <= self.raw_factor / self.shared_factor <= SHARED_CHANGE
         return changed or self.own_weight > SHARED_GROWTH * self.shared_weight
 
 
@@ -194,7 +196,7 @@
         return self._typical_by_service.get(service, 1.0)
 
     def factor(self, service: str, kind: str) -> float:
-        """Return the ratio of task times on a kind of host and elsewhere."""
+        """Return the ratio of task times on a kind of host to those elsewhere."""
         known = self._kinds.get((service, kind))
         return known.factor if known is not None else 1.0
 
@@ -220,7 +222,7 @@
             if target.report is not None:
                 kind = (target.report.service, target.report.kind)
                 samples.append(_Sample(target, kind, self.factor(*kind), work))
-        expected = max(MIN_SECONDS, length)
+        expected = max(MIN_RUN_SECONDS, length)
         for sample in samples:
             others = [s.kind_length for s in samples if s.kind != sample.kind]
             evidence = self._evidence(sample.kind)
@@ -277,7 +279,7 @@
         self._typical_by_service = {name: sum(each) / len(each) for name, each in factors.items()}
 
     def snapshot(self) -> list[KindSpeed]:
-        """Return the evidence on each kind, for operators; other entries get less."""
+        """Return the evidence on each kind for operators, including what is too weak to share."""
         return [self._message(kind, evidence) for kind, evidence in self._kinds.items()]
 
     def _collect_unproven(self, present: Iterable[Kind]) -> None:
@@ -306,16 +308,19 @@
         """Return what was learned here since the last call; None if nothing was."""
         kinds = []
         for kind, evidence in self._kinds.items():
-            if evidence.is_unshared():
-                evidence.shared, evidence.shared_weight = evidence.raw_factor, evidence.own_weight
+            if evidence.should_share():
+                evidence.shared_factor, evidence.shared_weight = (
+                    evidence.raw_factor,
+                    evidence.own_weight,
+                )
                 kinds.append(self._message(kind, evidence))
         return SpeedUpdate(kinds) if kinds else None
 
     def merge(self, update: SpeedUpdate) -> list[KindSpeed]:
         """Adopt another entry's evidence where it is much stronger; return what was adopted.
 
-        Adopted evidence counts as a few completions, so that own ones soon outweigh it, and is not
-        shared again, so that nothing comes back as another's.
+        Adopted evidence counts as a few completions, so that own ones soon outweigh it. It is not
+        shared again, so that no entry gets its own evidence back as another's.
         """
         return [message for message in update.kinds[:MAX_KINDS] if self._adopt(message)]
 
@@ -337,7 +342,7 @@
         factor = slowness * self.typical_slowness(message.service)
         known.weight = known.compared = min(completions / ADOPTION_RATIO, MIN_PROVEN_COMPLETIONS)
         raw_factor = factor ** ((known.weight + PRIOR_WEIGHT) / known.weight)
-        known.raw_factor = known.shared = _clamped(raw_factor, MAX_FACTOR)
+        known.raw_factor = known.shared_factor = _clamped(raw_factor, MAX_FACTOR)
         known.own_weight = known.shared_weight = 0.0
         return True
 
@@ -395,6 +400,6 @@
 
 
 def _is_plausible(message: KindSpeed) -> bool:
-    """Whether another entry's evidence is plausible; its size is limited when adopted."""
+    """Whether another entry's evidence is plausible; adoption limits its factor and weight."""
     has_short_names = max(len(message.service), len(message.kind)) <= MAX_NAME_LENGTH
     return has_short_names and message.slowness_thousandths > 0 and message.ends > 0
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/targetsnapshot.py
@@ -14,14 +14,14 @@
 class KindCapacity:
     """Resources of the runners on one kind of host.
 
-    Only warm runners that are not on probation count in `min_slowness` and `capacity`, as no task
-    waits for any other.
+    Only warm runners that are not on probation count in `min_slowness` and `capacity`, as tasks
+    wait for these only.
     """
 
     factor: float
-    """Ratio of task times on the kind and elsewhere."""
+    """Ratio of task times on the kind to those elsewhere."""
     min_slowness: float
-    """Ratio of task times on the fastest runner and elsewhere."""
+    """Ratio of task times on the fastest runner to those elsewhere."""
     free: Resources
     """Upper bound of the free resources of any runner, per kind of resource."""
     capacity: Resources
@@ -63,7 +63,7 @@
         return need.fits(self._maximum[service])
 
     def kinds(self, service: str) -> list[KindCapacity]:
-        """Return the resources of a service by kind of host."""
+        """Return the resources of a service by kind of host, merging kinds of equal factor."""
         if service not in self._kinds:
             kinds: dict[float, list[TargetRecord]] = {}
             for target in self.usable(service):
--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/tasklengths.py
@@ -1,8 +1,8 @@
 """Prediction of task lengths: a linear model per queue, fitted to observed completions.
 
 A caller gives a rough estimate of a task's length, and a deadline. Callers with longer work wait
-longer, so both carry information; how much is learned from completions. Until there are any, the
-estimate is used as it is.
+longer, so both carry information; their weights are fitted to completions. Until there are any,
+the estimate is used as it is.
 
 A caller that resends a job sets a deadline of only the remaining time. Such a job is recognized by
 a deadline too short for any length that its estimate allows, which also shows its age.
@@ -15,19 +15,19 @@
 """Factor by which an observation's weight decays with each new one: about the last 200 count."""
 
 PRIOR_WEIGHTS = (1.0, 0.6, 8.0)
-"""Prior weights of the estimate as given: offset, estimate and deadline."""
+"""Weights of the prior that the estimate is right, by coefficient: offset, estimate, deadline."""
 
 MAX_RATIO = 4.0
 """Largest factor between a predicted length and its estimate."""
 
 RESENT_RATIO = 0.35
-"""Ratio of predicted length and estimate below which a job is taken for a resent one."""
+"""Ratio of the predicted length to the estimate below which a job is taken for a resent one."""
 
 MAX_QUEUES = 1000
 """Queues kept; the least recently used is dropped first."""
 
 MIN_DEADLINE_SLOPE = 0.02
-"""Seconds of length per second of deadline below which a deadline shows no age."""
+"""Seconds of length per second of deadline up to which no age is derived from a deadline."""
 
 
 @final
@@ -44,8 +44,8 @@
     """Least squares over one queue's completions, each weighted by its inverse squared estimate."""
 
     def __init__(self) -> None:
-        self._squares = [[0.0] * 3 for _ in range(3)]
-        self._products = [0.0] * 3
+        self._normal_matrix = [[0.0] * 3 for _ in range(3)]
+        self._normal_vector = [0.0] * 3
         self._coefficients = (0.0, 1.0, 0.0)
         self._stale = False
 
@@ -55,8 +55,8 @@
         row = _regressors(estimate, deadline)
         for i in range(3):
             for j in range(3):
-                self._squares[i][j] = DECAY * self._squares[i][j] + row[i] * row[j]
-            self._products[i] = DECAY * self._products[i] + row[i] * ratio
+                self._normal_matrix[i][j] = DECAY * self._normal_matrix[i][j] + row[i] * row[j]
+            self._normal_vector[i] = DECAY * self._normal_vector[i] + row[i] * ratio
         self._stale = True
 
     def predict(self, estimate: float, deadline: float) -> JobPrediction:
@@ -72,12 +72,12 @@
     def _fitted(self) -> tuple[float, float, float]:
         if self._stale:
             self._stale = False
-            matrix = [list(row) for row in self._squares]
+            matrix = [list(row) for row in self._normal_matrix]
             for i, weight in enumerate(PRIOR_WEIGHTS):
                 matrix[i][i] += weight
-            products = list(self._products)
-            products[1] += PRIOR_WEIGHTS[1]
-            self._coefficients = _solve(matrix, products)
+            vector = list(self._normal_vector)
+            vector[1] += PRIOR_WEIGHTS[1]
+            self._coefficients = _solve(matrix, vector)
         return self._coefficients
 
 
@@ -88,7 +88,7 @@
     def __init__(self) -> None:
         self._queues: dict[str, TaskLengthModel] = {}
 
-    def of(self, queue: str) -> TaskLengthModel:
+    def for_queue(self, queue: str) -> TaskLengthModel:
         """Return a queue's model; a new one if there is none."""
         model = self._queues.pop(queue, None) or TaskLengthModel()
         self._queues[queue] = model
--- a/testing/core/leased/test_tasklengths.py
+++ b/testing/core/leased/test_tasklengths.py
@@ -75,17 +75,17 @@
 def test_queues_are_modeled_separately() -> None:
     lengths = TaskLengthModels()
     for _ in range(50):
-        lengths.of("slow").observe(0.2, 3.0, 0.6)
-    assert lengths.of("slow").predict(0.2, 3.0).length > 0.5
-    assert lengths.of("other").predict(0.2, 3.0) == JobPrediction(0.2)
+        lengths.for_queue("slow").observe(0.2, 3.0, 0.6)
+    assert lengths.for_queue("slow").predict(0.2, 3.0).length > 0.5
+    assert lengths.for_queue("other").predict(0.2, 3.0) == JobPrediction(0.2)
 
 
 def test_the_least_recently_used_queue_is_dropped_first() -> None:
     lengths = TaskLengthModels()
     for name in ("kept", "forgotten"):
-        lengths.of(name).observe(0.2, 3.0, 0.6)
+        lengths.for_queue(name).observe(0.2, 3.0, 0.6)
     for number in range(MAX_QUEUES - 1):
-        lengths.of("kept")
-        lengths.of(f"q{number}")
-    assert lengths.of("kept").predict(0.2, 3.0) != JobPrediction(0.2)
-    assert lengths.of("forgotten").predict(0.2, 3.0) == JobPrediction(0.2)
+        lengths.for_queue("kept")
+        lengths.for_queue(f"q{number}")
+    assert lengths.for_queue("kept").predict(0.2, 3.0) != JobPrediction(0.2)
+    assert lengths.for_queue("forgotten").predict(0.2, 3.0) == JobPrediction(0.2)
