--- a/testing/core/leased/test_bulkhead.py
+++ b/testing/core/leased/test_bulkhead.py
@@ -6,12 +6,12 @@
 from paddleshunt_core.leased.targets import TargetRecord
 from paddleshunt_core.leased.wire import Health, RunnerReport, RunnerState
 
-ROOM = Resources(8000, 8000, 0)
+CAPACITY = Resources(8000, 8000, 0)
 
 
 def target(name: str, state: RunnerState = RunnerState.READY, service: str = "svc") -> TargetRecord:
     record = TargetRecord(name, "hall", "1")
-    record.report = RunnerReport(service, f"i-{name}", state, Health.GOOD, ROOM, ROOM)
+    record.report = RunnerReport(service, f"i-{name}", state, Health.GOOD, CAPACITY, CAPACITY)
     return record
 
 
--- a/testing/core/leased/test_catalogsync.py
+++ b/testing/core/leased/test_catalogsync.py
@@ -24,7 +24,11 @@
 """Seconds within which a configuration must be in force everywhere."""
 
 GOSSIP_SECONDS = 0.4
+"""Interval at which an entry sends its version to the others."""
+
 LATENCY = 0.0014
+"""Network delay of a message, in seconds."""
+
 NARROW, WIDE = 25.0, 200.0
 """Bandwidths of the entries' links, in megabits per second."""
 
@@ -153,7 +157,7 @@
     assert all(entry.version_held == 2 for entry in fleet.entries.values())
     least_gap = SIZE / (NARROW * BYTES_PER_MEGABIT * LINK_SHARE)
     for entry in fleet.entries.values():
-        gaps = [later - sooner for sooner, later in pairwise(entry.sent)]
+        gaps = [later - earlier for earlier, later in pairwise(entry.sent)]
         assert all(gap >= least_gap - 1e-9 for gap in gaps)
 
 
@@ -174,7 +178,7 @@
     for now in (tick / 64 for tick in range(20 * 64)):
         sync.on_version(now, "e1", 2)
         asked += [now for step in sync.act(now) if isinstance(step, RequestCatalog)]
-    gaps = [later - sooner for sooner, later in pairwise(asked)]
+    gaps = [later - earlier for earlier, later in pairwise(asked)]
     expected = [
         min(MAX_ANSWER_TIMEOUT_SECONDS, ANSWER_TIMEOUT_SECONDS * 2**n) for n in range(len(gaps))
     ]
--- a/testing/core/leased/test_coldrunners.py
+++ b/testing/core/leased/test_coldrunners.py
@@ -31,13 +31,15 @@
 from paddleshunt_core.leased.worker import Worker
 
 QUEUE = Queue("q", "host", "/q/", "svc", stretch=1.6, latency=0.06)
-ROOM = Resources(8000, 8000)
+CAPACITY = Resources(8000, 8000)
 NEED = Resources(1000, 10)
 RUN = RunId(TaskId("job", 0, 0), 1)
 
 
 def report(cold_ms: int = 0, runner: str = "i-1") -> RunnerReport:
-    return RunnerReport("svc", runner, RunnerState.READY, Health.GOOD, ROOM, ROOM, cold_ms=cold_ms)
+    return RunnerReport(
+        "svc", runner, RunnerState.READY, Health.GOOD, CAPACITY, CAPACITY, cold_ms=cold_ms
+    )
 
 
 def target(name: str, cold_ms: int = 0) -> TargetRecord:
@@ -56,7 +58,7 @@
 def target_named(name: str) -> TargetRecord:
     record = target(name, 5000 if name.startswith("cold") else 0)
     if name.endswith("full"):
-        record.reserve(ROOM)
+        record.reserve(CAPACITY)
     return record
 
 
@@ -88,7 +90,7 @@
 
 def test_a_nearly_full_warm_runner_is_preferred_to_an_empty_cold_one() -> None:
     warm = target("warm")
-    warm.reserve(ROOM - NEED)
+    warm.reserve(CAPACITY - NEED)
     job_record = job()
     placement = Placement("hall", Random(1), 1.5, cold_overrun=1.5)
     found = placement.choose(10.0, job_record, job_record.tasks[0], [target("cold", 5000), warm])
@@ -109,7 +111,7 @@
 
 
 def status(cold: float, runner: str = "i-1") -> RunnerStatus:
-    return RunnerStatus(RunnerIncarnation(runner), "svc", "a", ROOM, False, None, cold=cold)
+    return RunnerStatus(RunnerIncarnation(runner), "svc", "a", CAPACITY, False, None, cold=cold)
 
 
 def worker(cold: float, overrun: float = 1.5) -> Worker:
--- a/testing/core/leased/test_containment.py
+++ b/testing/core/leased/test_containment.py
@@ -81,7 +81,7 @@
         return sum(answer == Completed() for answer in answers) / len(answers)
 
     def lost(self) -> int:
-        """Return the runners that tasks have crashed."""
+        """Return how many times tasks have crashed a runner."""
         return sum(self.fleet.crashes.crashed.values())
 
 
--- a/testing/core/leased/test_crashes.py
+++ b/testing/core/leased/test_crashes.py
@@ -42,6 +42,7 @@
 
 
 def test_a_crashing_job_sent_to_several_entries_keeps_its_history() -> None:
+    """`Fleet.check` fails if the job's task is started too often."""
     fleet = Fleet(entries=3, targets=12)
     fleet.settle()
     for entry in ("e0", "e1", "e2"):
--- a/testing/core/leased/test_speeds.py
+++ b/testing/core/leased/test_speeds.py
@@ -26,10 +26,10 @@
 CAPACITY = Resources(8000, 8000, 0)
 
 
-def report(kind: str, life: str = "life-1") -> RunnerReport:
+def report(kind: str, runner: str = "i-1") -> RunnerReport:
     labels = (kind, "rack") if kind else ()
     return RunnerReport(
-        "svc", life, RunnerState.READY, Health.GOOD, CAPACITY, NO_RESOURCES, labels, kind=kind
+        "svc", runner, RunnerState.READY, Health.GOOD, CAPACITY, NO_RESOURCES, labels, kind=kind
     )
 
 
@@ -47,20 +47,20 @@
     return speeds.factor("svc", "b") / speeds.factor("svc", "a")
 
 
-def run_time(each: TargetRecord, length: float, rng: Random, odd: float = 1.0) -> float:
-    """Return the run time of a task on a target, `odd` times that of its kind."""
+def run_time(each: TargetRecord, length: float, rng: Random, slowdown: float = 1.0) -> float:
+    """Return the run time of a task on a target, `slowdown` times that of its kind."""
     kind = each.report.kind if each.report else ""
-    return length * SLOWNESS.get(kind, 1.0) * odd * rng.uniform(0.9, 1.1)
+    return length * SLOWNESS.get(kind, 1.0) * slowdown * rng.uniform(0.9, 1.1)
 
 
 def train(
-    speeds: Speeds, targets: list[TargetRecord], jobs: int, odd: dict[str, float] | None = None
+    speeds: Speeds, targets: list[TargetRecord], jobs: int, slowdown: dict[str, float] | None = None
 ) -> None:
     """Complete `jobs` jobs of four tasks on random targets."""
     rng = Random(4)
     for _ in range(jobs):
         where = rng.choices(targets, k=4)
-        completed = [(t, run_time(t, 0.4, rng, (odd or {}).get(t.name, 1.0))) for t in where]
+        completed = [(t, run_time(t, 0.4, rng, (slowdown or {}).get(t.name, 1.0))) for t in where]
         speeds.refresh(0.0, targets)
         speeds.compare_tasks(0.4, completed)
 
@@ -157,7 +157,7 @@
     speeds = Speeds()
     targets = fleet("a", "a", "b")
     train(speeds, targets, 100, {"t0": 2.5})
-    targets[0].update_report(1.0, report("b", "life-2"))
+    targets[0].update_report(1.0, report("b", "i-2"))
     speeds.set_kind_factor(targets[0])
     assert targets[0].deviation == 1.0
     assert targets[0].slowness == speeds.factor("svc", "b")
@@ -365,9 +365,7 @@
     queue = Queue("q", "host", "/q/", "svc", stretch=1.6, latency=0.06)
     job = new_job(1, JobRequest("key", "spec", 8, Resources(1000, 10), 0.4, 3.0), queue, 0.0)
     fast, slow = fleet("a", "b")
-    typical_slowness = expected_wait(job, [fast, slow], [job])
+    typical_wait = expected_wait(job, [fast, slow], [job])
     fast.kind_factor, slow.kind_factor = 0.7, 1.7
-    # The two hosts work off 1.2 / 0.7 and 1.2 / 1.7 of what two typical ones do.
-    assert expected_wait(job, [fast, slow], [job]) == pytest.approx(
-        typical_slowness / 1.21, rel=0.01
-    )
+    # The hosts run at 1.2 / 0.7 and 1.2 / 1.7 times a typical host's speed: 1.21 on average.
+    assert expected_wait(job, [fast, slow], [job]) == pytest.approx(typical_wait / 1.21, rel=0.01)
