--- a/testing/core/leased/test_evacuation.py
+++ b/testing/core/leased/test_evacuation.py
@@ -39,7 +39,7 @@
         ([EvacuatedHalls(21, ()), HALL_A], ()),
         ([HALL_A, EvacuatedHalls(30, ()), EvacuatedHalls(40, ("a",)), HALL_A], ("a",)),
     ],
-    ids=["set", "late_absence", "taken_back", "late_word", "set_again"],
+    ids=["set", "late_absence", "withdrawn", "late_set", "set_again"],
 )
 def test_the_set_of_the_latest_revision_counts(
     updates: list[EvacuatedHalls], expected: tuple[str, ...]
@@ -61,10 +61,8 @@
 def worker_in(hall: str) -> Worker:
     """Return a worker in session with the entry `e`."""
     worker = Worker(lease_times(Bounds()), hall)
-    account = RunnerStatus(
-        RunnerIncarnation("i-1"), "svc", hall, Resources(8000, 8000), False, None
-    )
-    worker.heartbeat_received(0.9, account)
+    status = RunnerStatus(RunnerIncarnation("i-1"), "svc", hall, Resources(8000, 8000), False, None)
+    worker.heartbeat_received(0.9, status)
     worker.poll_answered(0.95, PollAnswer(0.92, [], []))
     worker.greeting_answered(1.0, Hello("e", "life", True, "hall", "", 1, 0), 1.0)
     return worker
