--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/linkpressure.py
@@ -71,8 +71,8 @@
 
     `unsent` is the number of bytes held by all connections, `largest` that held by one of them, and
     `written` that of all bytes ever handed to connections. `active` connections hold bytes or were
-    written to since the last sample; `holding` of them hold some. `echo` is the lower-quartile age
-    in seconds of the peers' newest echoes; None without peers that echo.
+    written to since the last sample; `holding` of them hold some. `echo_age` is the lower-quartile
+    age in seconds of the peers' newest echoes; None without peers that echo.
     """
 
     unsent: int
@@ -80,7 +80,7 @@
     written: int
     holding: int
     active: int
-    echo: float | None = None
+    echo_age: float | None = None
 
 
 @final
@@ -108,9 +108,11 @@
         """Consecutive samples with a wait short enough to leave a level, by level."""
         self._echoes: deque[float] = deque(maxlen=ECHO_WINDOW_SAMPLES)
 
-    def needs_full_sample(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo_age: float | None) -> bool:
         """Whether to take a full sample: the level is raised, or echoes are late."""
-        return self.level is not PressureLevel.NORMAL or self._lateness(echo) >= SHED_LEAVE_SECONDS
+        return (
+            self.level is not PressureLevel.NORMAL or self._lateness(echo_age) >= SHED_LEAVE_SECONDS
+        )
 
     def rejects_connections(self, now: float) -> bool:
         """Whether new connections should go to another host."""
@@ -120,8 +122,8 @@
         """Process a sample; return a log line if the level changes."""
         self._measure_rate(now, sample)
         self.wait = self._wait(sample)
-        if sample.echo is not None:
-            self._echoes.append(sample.echo)
+        if sample.echo_age is not None:
+            self._echoes.append(sample.echo_age)
         self._previous = (now, sample)
         self._count_samples()
         before = self.level
@@ -163,14 +165,14 @@
             return 0.0
         unsent = sample.unsent - sample.largest
         wait = min(MAX_WAIT_SECONDS, unsent / max(MIN_RATE, self._rate))
-        return wait if sample.echo is None else min(wait, self._lateness(sample.echo))
+        return wait if sample.echo_age is None else min(wait, self._lateness(sample.echo_age))
 
-    def _lateness(self, echo: float | None) -> float:
+    def _lateness(self, echo_age: float | None) -> float:
         """Return by how many seconds echoes are later than the baseline."""
-        if echo is None:
+        if echo_age is None:
             return 0.0
-        baseline = min(self._normal_echo_age, min(self._echoes, default=echo))
-        return max(0.0, echo - baseline)
+        baseline = min(self._normal_echo_age, min(self._echoes, default=echo_age))
+        return max(0.0, echo_age - baseline)
 
     def _count_samples(self) -> None:
         limits = {
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -107,9 +107,9 @@
 
     def sample(self, now: float) -> None:
         """Take a sample, and log changes of the pressure level."""
-        echo = self._echo()
+        echo_age = self._echo()
         buffered = self._buffered_bytes()
-        thorough = any(buffered.values()) or self.pressure.needs_full_sample(echo)
+        thorough = any(buffered.values()) or self.pressure.needs_full_sample(echo_age)
         kernel = (
             self._sample_kernel(buffered)
             if thorough and self._kernel_supported
@@ -122,7 +122,7 @@
             written=self._total_written,
             holding=sum(count > 0 for count in buffered.values()) + kernel.holding,
             active=len(buffered),
-            echo=echo,
+            echo_age=echo_age,
         )
         for log in self.pressure.add_sample(now, sample):
             self._context.log(log)
--- a/testing/core/leased/test_linkpressure.py
+++ b/testing/core/leased/test_linkpressure.py
@@ -44,11 +44,11 @@
             )
 
     def add_sample_of(
-        self, unsent: int, holding: int, echo: float | None, largest: int = 0
+        self, unsent: int, holding: int, echo_age: float | None, largest: int = 0
     ) -> None:
         """Add one sample with the given values."""
         largest = largest or unsent // max(1, holding)
-        sample = LinkSample(unsent, largest, self.written, holding, self.connections, echo)
+        sample = LinkSample(unsent, largest, self.written, holding, self.connections, echo_age)
         self.logs += self.pressure.add_sample(self.now, sample)
         self.levels.append(self.pressure.level)
 
@@ -132,17 +132,19 @@
     assert set(link.levels) == {NORMAL}
 
 
-ECHOES = pytest.mark.parametrize("echo", [NORMAL_ECHO_AGE, None], ids=["others-answer", "no-other"])
+ECHOES = pytest.mark.parametrize(
+    "echo_age", [NORMAL_ECHO_AGE, None], ids=["others-answer", "no-other"]
+)
 
 
 @ECHOES
-def test_one_unresponsive_peer_is_no_pressure(echo: float | None) -> None:
+def test_one_unresponsive_peer_is_no_pressure(echo_age: float | None) -> None:
     link = Link()
     link.run(1.0, 200_000)
     for n in range(20):
         link.now += STEP
         link.written += 40_000
-        link.add_sample_of(1_000_000 + 10_000 * n, 1, echo, largest=1_000_000)
+        link.add_sample_of(1_000_000 + 10_000 * n, 1, echo_age, largest=1_000_000)
     assert set(link.levels) == {NORMAL}
 
 
@@ -153,14 +155,14 @@
 )
 @ECHOES
 def test_unreachable_peers_are_no_pressure(
-    connections: int, holding: int, largest: int, echo: float | None
+    connections: int, holding: int, largest: int, echo_age: float | None
 ) -> None:
     link = Link(connections=connections)
     link.run(1.0, 200_000)
     for _ in range(20):
         link.now += STEP
         link.written += 40_000
-        link.add_sample_of(1_901_000, holding, echo, largest)
+        link.add_sample_of(1_901_000, holding, echo_age, largest)
     assert set(link.levels) == {NORMAL}
 
 
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -58,7 +58,7 @@
         self.samples: list[LinkSample] = []
         self.suspicious = suspicious
 
-    def needs_full_sample(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo_age: float | None) -> bool:
         return self.suspicious
 
     def add_sample(self, now: float, sample: LinkSample) -> list[Log]:
@@ -278,7 +278,7 @@
         self.level = PressureLevel.NORMAL
         self.wait = 0.0
 
-    def needs_full_sample(self, echo: float | None) -> bool:
+    def needs_full_sample(self, echo_age: float | None) -> bool:
         return False
 
     def rejects_connections(self, now: float) -> bool:
