--- a/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
+++ b/packages/paddleshunt-core/src/paddleshunt_core/leased/containment.py
@@ -28,7 +28,7 @@
 """Longest `Retry-After` for a refused job, in seconds."""
 
 EXPLAINED_RATIO = 10.0
-"""Ratio of two queues' probabilities from which the lower one's queue explains the other's.
+"""Ratio of two queues' probabilities from which the lower one's tasks explain the other's losses.
 
 Two queues that both crash runners don't differ that much. A queue whose tasks only ran beside the
 crashing ones does.
