--- a/testing/core/leased/test_linkpressure.py
+++ b/testing/core/leased/test_linkpressure.py
@@ -132,7 +132,9 @@
     assert set(link.levels) == {NORMAL}
 
 
-ECHOES = pytest.mark.parametrize("echo", [NORMAL_ECHO_AGE, None], ids=["others-answer", "no-other"])
+ECHOES = pytest.mark.parametrize(
+    "echo_age", [NORMAL_ECHO_AGE, None], ids=["others-answer", "no-other"]
+)
 
 
 @ECHOES
