--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -11,7 +11,7 @@
 from paddleshunt_node.aio.ports import StorePort, StoreUnavailableError
 from paddleshunt_node.aio.process import ProcessContext
 
-ANNOUNCE_SECONDS = 12.0
+ADDRESS_TTL_SECONDS = 12.0
 """Lifetime of this entry's address in the store, in seconds."""
 
 STORE_RETRY_SECONDS = 0.3
@@ -46,6 +46,7 @@
         self._entry = entry
         self._owner = owner
         self._regained = asyncio.Event()
+        """Set when the store has become reachable again."""
 
     async def follow(self) -> None:
         """Pass each new configuration and evacuation to the owner until cancelled."""
@@ -78,10 +79,10 @@
         while True:
             self._regained.clear()
             try:
-                await self._store.announce(self._entry, ANNOUNCE_SECONDS)
+                await self._store.announce(self._entry, ADDRESS_TTL_SECONDS)
                 if self._owner.lacks_entries():
-                    for known in await self._store.entries():
-                        self._owner.entry_discovered(known)
+                    for entry in await self._store.entries():
+                        self._owner.entry_discovered(entry)
             except StoreUnavailableError:
                 await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
@@ -89,7 +90,7 @@
 
     async def _wait_for_next_announcement(self) -> None:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._regained.wait(), ANNOUNCE_SECONDS / 3)
+            await asyncio.wait_for(self._regained.wait(), ADDRESS_TTL_SECONDS / 3)
 
     async def withdraw(self) -> None:
         """Remove this entry's address from the store."""
--- a/testing/council/test_store_outage.py
+++ b/testing/council/test_store_outage.py
@@ -88,7 +88,7 @@
 def test_rejected_entry_is_published_again_soon(
     monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
-    monkeypatch.setattr(storefollower, "ANNOUNCE_SECONDS", DISABLED_INTERVAL)
+    monkeypatch.setattr(storefollower, "ADDRESS_TTL_SECONDS", DISABLED_INTERVAL)
     assert storefollower.STORE_RETRY_SECONDS <= MAX_RETRY_SECONDS
     assert (
         asyncio.run(asyncio.wait_for(_calls_until_restored(SoakStore(), fault), 60))
@@ -99,7 +99,7 @@
 def test_silently_removed_address_is_restored_by_the_next_round(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(storefollower, "ANNOUNCE_SECONDS", 3.0)
+    monkeypatch.setattr(storefollower, "ADDRESS_TTL_SECONDS", 3.0)
     assert (
         asyncio.run(asyncio.wait_for(_calls_until_restored(SoakStore(), "unseen"), 60))
         <= MAX_RECOVERY_CALLS
