--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/clock.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/clock.py
@@ -10,7 +10,7 @@
 from typing import final
 
 NOISE_SECONDS = 0.001
-"""Seconds of difference between the two clocks that count as no suspension."""
+"""Changes of the clocks' offset below this many seconds don't count as a suspension."""
 
 
 def now() -> float:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/dialer.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/dialer.py
@@ -31,24 +31,25 @@
 class Dialer:
     """Keeps one connection to each wanted address, and dials again when it ends.
 
-    `own` is never dialled; `silence` is the connections' time-out in seconds; `may_dial` is asked
-    before each attempt, and `failed` is called with the address after a failed one.
+    `own` is never dialled. `ack_timeout` is the connections' time-out of unacknowledged data, in
+    seconds. `may_dial` is called before each attempt, and `on_failure` after a failed one.
     """
 
     def __init__(
         self,
         handler: PeerHandler,
         own: str,
-        silence: float,
+        ack_timeout: float,
         may_dial: Callable[[str], bool],
-        failed: Callable[[str], None] = lambda _: None,
+        on_failure: Callable[[str], None] = lambda _: None,
     ) -> None:
         self._handler = handler
         self._own = own
-        self._silence = silence
+        self._ack_timeout = ack_timeout
         self._may_dial = may_dial
-        self._failed = failed
+        self._on_failure = on_failure
         self._wanted: dict[str, float] = {}
+        """When each address was last added or refreshed."""
         self._seeds: set[str] = set()
         self._links: dict[str, PeerLink] = {}
         self._dialing: set[str] = set()
@@ -65,7 +66,7 @@
             self._dial_if_missing(address)
 
     def refresh(self, now: float, addresses: list[str]) -> None:
-        """Keep addresses from being dropped."""
+        """Restart the expiry of addresses, and add those that are unknown."""
         for address in addresses:
             if address != self._own:
                 self._wanted[address] = now
@@ -118,7 +119,7 @@
         return True
 
     async def _dial(self, address: str) -> None:
-        link = PeerLink(self._handler, self._silence)
+        link = PeerLink(self._handler, self._ack_timeout)
         # Stored before it opens, as the handler may call `address_of`.
         self._links[address] = link
         loop = asyncio.get_running_loop()
@@ -128,6 +129,6 @@
         except (TimeoutError, OSError):
             if self._links.get(address) is link:
                 del self._links[address]
-            self._failed(address)
+            self._on_failure(address)
         finally:
             self._dialing.discard(address)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrygauges.py
@@ -28,7 +28,7 @@
         "Age of the oldest target's report.",
         lambda: _report_age(dispatcher),
     )
-    metrics.family(
+    metrics.labelled_gauge(
         "paddleshunt_kind_slowness",
         "How many times as long tasks take on a kind of host as on a usual one.",
         lambda: _kind_slowness(dispatcher),
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -42,13 +42,13 @@
 `ENTRY_ALIVE_SECONDS`."""
 
 ENTRY_ALIVE_SECONDS = 1.5
-"""Seconds since an entry's last message for which it counts as alive."""
+"""Seconds after an entry's last message during which it counts as alive."""
 
 ANNOUNCE_DELAY_SECONDS = 0.05
 """Seconds for which new entries are collected before they are announced to targets."""
 
-MIN_SPREAD_INTERVAL_SECONDS = 0.02
-"""Minimum seconds between two steps of spreading a configuration."""
+MIN_SYNC_INTERVAL_SECONDS = 0.02
+"""Minimum seconds between two steps of the configuration's distribution."""
 
 
 class PeerOwner(Protocol):
@@ -77,14 +77,14 @@
     def known_losses(self) -> list[LossUpdate]:
         """Return the recorded losses of runners."""
 
-    def receive_loss(self, news: LossUpdate, source: str) -> None:
+    def receive_loss(self, update: LossUpdate, source: str) -> None:
         """Process another entry's report on a lost runner."""
 
     @property
     def speeds(self) -> Speeds:
         """The measured slowness of each kind of host."""
 
-    def receive_speeds(self, news: SpeedUpdate, source: str) -> None:
+    def receive_speeds(self, update: SpeedUpdate, source: str) -> None:
         """Process another entry's measurements of kinds of hosts."""
 
     def target_count(self) -> int:
@@ -97,7 +97,7 @@
         """Record an entry that is new or whose address has changed."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Record a message that can't be decoded."""
+        """Record an invalid message, or an invalid part of one."""
 
     def notify_targets(self, changes: EntryChanges) -> None:
         """Send all targets the entries that have joined or gone."""
@@ -107,7 +107,8 @@
 class EntryPeers:
     """Tracks the other entries, and exchanges gossip with them.
 
-    `hello` is sent over each new connection; `silence` is its time-out in seconds.
+    `hello` is sent over each new connection; `ack_timeout` is the connections' time-out of
+    unacknowledged data, in seconds.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
         owner: PeerOwner,
         own: EntryAddress,
         hello: Hello,
-        silence: float,
+        ack_timeout: float,
         link_mbps: float = LINK_MBPS,
     ) -> None:
         self._owner = owner
@@ -125,17 +126,18 @@
         self._announced: dict[str, EntryAddress] = {own.name: own}
         """The entries last announced to targets, by name."""
         self._announcing = False
-        self._list_turn = 0
-        self.sheds = False
+        self._list_index = 0
+        """Index of the connection to which the list of live entries was last sent."""
+        self.network_overloaded = False
         """Whether this host's link is overloaded, so that deferrable messages are left out."""
-        self._spread = CatalogSync(Random(), link_mbps)
+        self._catalog_sync = CatalogSync(Random(), link_mbps)
         self._requesters: dict[str, PeerLink] = {}
         """Connections of the entries that have requested the configuration, by name."""
         self._packed = PackedCatalog(0, b"")
-        self._spread_timer: asyncio.TimerHandle | None = None
-        self._spread_due = 0.0
-        """When the timer fires."""
-        self._dialer = Dialer(self, own.address, silence, lambda _: True)
+        self._sync_timer: asyncio.TimerHandle | None = None
+        self._sync_due = 0.0
+        """When `_sync_timer` fires, while it is set."""
+        self._dialer = Dialer(self, own.address, ack_timeout, lambda _: True)
 
     def set_seeds(self, addresses: set[str]) -> None:
         """Replace the addresses that are always dialled."""
@@ -182,16 +184,16 @@
 
     def announce_catalog(self, catalog: Catalog) -> None:
         """Send all entries the version in force; those without another source request it."""
-        self._spread.set_version(catalog.version)
+        self._catalog_sync.set_version(catalog.version)
         self._send_all(CatalogVersion(catalog.version))
 
     def broadcast_evacuations(self, evacuated: EvacuatedHalls) -> None:
         """Send all entries the evacuated halls."""
         self._send_all(EvacuationUpdate(evacuated))
 
-    def broadcast_loss(self, news: LossUpdate) -> None:
+    def broadcast_loss(self, update: LossUpdate) -> None:
         """Send all entries a report on a lost runner."""
-        self._send_all(news)
+        self._send_all(update)
 
     async def dial_forever(self) -> None:
         """Keep a connection to each entry until cancelled."""
@@ -211,14 +213,14 @@
                 EvacuationUpdate(self._owner.evacuations.known),
                 SessionCount(self._owner.target_count()),
             )
-            learned = self._owner.speeds.take_changes()
-            if learned is not None:
-                self._send_all(learned)
+            changed_speeds = self._owner.speeds.take_changes()
+            if changed_speeds is not None:
+                self._send_all(changed_speeds)
             links = self._dialer.links()
-            if links and not self.sheds:
-                self._list_turn = (self._list_turn + 1) % len(links)
-                links[self._list_turn].send(_sessionless_frame(Entries(self.live())))
-            await asyncio.sleep(SHED_GOSSIP_SECONDS if self.sheds else GOSSIP_SECONDS)
+            if links and not self.network_overloaded:
+                self._list_index = (self._list_index + 1) % len(links)
+                links[self._list_index].send(_sessionless_frame(Entries(self.live())))
+            await asyncio.sleep(SHED_GOSSIP_SECONDS if self.network_overloaded else GOSSIP_SECONDS)
 
     def _send_all(self, *bodies: Body) -> None:
         frame = _sessionless_frame(*bodies)
@@ -243,10 +245,10 @@
     def _handle_version(self, link: PeerLink, offered: CatalogVersion) -> None:
         if offered.wanted:
             self._requesters[link.peer] = link
-            self._spread.on_request(link.peer, offered.version)
+            self._catalog_sync.on_request(link.peer, offered.version)
         else:
-            self._spread.on_version(clock.now(), link.peer, offered.version)
-        self._spread_when_due()
+            self._catalog_sync.on_version(clock.now(), link.peer, offered.version)
+        self._schedule_sync()
 
     def _handle_packed_catalog(self, link: PeerLink, packed: PackedCatalog) -> None:
         try:
@@ -256,29 +258,29 @@
             return
         self._owner.adopt_catalog(catalog, link.peer)
 
-    def _spread_when_due(self) -> None:
-        due = self._spread.due()
+    def _schedule_sync(self) -> None:
+        due = self._catalog_sync.due()
         if due is None:
             return
-        due = max(due, clock.now() + MIN_SPREAD_INTERVAL_SECONDS)
-        if self._spread_timer is not None:
-            if self._spread_due <= due:
+        due = max(due, clock.now() + MIN_SYNC_INTERVAL_SECONDS)
+        if self._sync_timer is not None:
+            if self._sync_due <= due:
                 return
-            self._spread_timer.cancel()
-        self._spread_due = due
+            self._sync_timer.cancel()
+        self._sync_due = due
         loop = asyncio.get_running_loop()
-        self._spread_timer = loop.call_later(due - clock.now(), self._spread_catalog)
+        self._sync_timer = loop.call_later(due - clock.now(), self._sync_catalog)
 
-    def _spread_catalog(self) -> None:
+    def _sync_catalog(self) -> None:
         """Request a configuration, or send copies of it, as far as due."""
-        self._spread_timer = None
-        for step in self._spread.act(clock.now(), may_send=not self.sheds):
+        self._sync_timer = None
+        for step in self._catalog_sync.act(clock.now(), may_send=not self.network_overloaded):
             match step:
                 case RequestCatalog():
                     self._request_catalog(step.peer)
                 case SendCatalog():
                     self._send_catalog(step.peer)
-        self._spread_when_due()
+        self._schedule_sync()
 
     def _request_catalog(self, peer: str) -> None:
         request = CatalogVersion(self._owner.catalog.version, wanted=True)
@@ -294,23 +296,23 @@
             self._packed = pack(catalog)
         size = len(self._packed.content)
         self._requesters.pop(peer).send(_sessionless_frame(self._packed))
-        self._spread.copy_sent(clock.now(), size)
+        self._catalog_sync.copy_sent(clock.now(), size)
         self._owner.catalog_sent(peer, size)
 
     def connection_opened(self, link: PeerLink) -> None:
         """Send a dialled entry the hello and the whole known state."""
         link.send(self._hello)
         speeds = self._owner.speeds.export()
-        known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
+        updates: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
         version = CatalogVersion(self._owner.catalog.version)
-        link.send(_sessionless_frame(Entries(self.live()), version, *known))
+        link.send(_sessionless_frame(Entries(self.live()), version, *updates))
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Record an entry that was dialled."""
         self.record_entry(EntryAddress(hello.name, hello.address, hello.incarnation, hello.hall))
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
-        """Process a frame of another entry, over either side's connection."""
+        """Process a frame of another entry, whichever side opened the connection."""
         for body in frame.bodies:
             self._handle_body(link, body)
         known = self._known.get(link.peer)
@@ -347,12 +349,12 @@
                 pass
 
     def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
-        """Record a message that can't be decoded."""
+        """Record an invalid message."""
         self._owner.refuse(refusal)
 
     def connection_closed(self, link: PeerLink) -> None:
         """Drop the peer's pending request, and dial it again."""
-        self._spread.peer_left(link.peer)
+        self._catalog_sync.peer_left(link.peer)
         self._requesters.pop(link.peer, None)
         self._dialer.redial(link)
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryservice.py
@@ -59,7 +59,7 @@
 RETRY_AFTER = "Retry-After"
 
 ALTERNATIVE_ENTRY_SECONDS = 10.0
-"""Seconds since the last message of another entry for which callers are sent there; well above the
+"""Seconds after another entry's last message during which callers are sent to it; well above the
 gossip interval, as an overloaded link delays gossip too."""
 
 OVERLOAD_RETRY_SECONDS = 1.0
@@ -117,11 +117,11 @@
         self._caller_server = HttpServer(self)
         self._early_requests = EarlyRequests(_unconfigured)
         self._target_links: dict[str, PeerLink] = {}
-        self._frame_due: set[str] = set()
-        """Names of targets that are due a frame even if no message is pending."""
+        self._replies_due: set[str] = set()
+        """Names of targets that get a frame with the next flush even if no message is pending."""
         own = EntryAddress(config.name, config.peers, self._incarnation, config.hall)
-        hello, silence = self._hello(0, 0), self._times.session
-        self._peers = EntryPeers(self, own, hello, silence, config.link_mbps)
+        hello, ack_timeout = self._hello(0, 0), self._times.session
+        self._peers = EntryPeers(self, own, hello, ack_timeout, config.link_mbps)
         self._peers.set_seeds(set(config.seeds))
         self._store_follower = StoreFollower(store, context, own, self)
         self._meter = LinkMeter(
@@ -132,12 +132,12 @@
         )
         self._loop: asyncio.AbstractEventLoop
         self._flushing = False
-        self._answers_timer: asyncio.TimerHandle | None = None
+        self._confirmation_timer: asyncio.TimerHandle | None = None
         self._leaving = False
         self._started_at = self._now()
         self._readiness = Readiness()
         self._unready_since = float("inf")
-        """When the readiness check began to fail because of the overloaded link."""
+        """When the readiness check began to fail as the link was overloaded; infinite otherwise."""
 
     async def run(self) -> None:
         """Serve until the process is asked to stop, then shut down gracefully."""
@@ -148,9 +148,9 @@
     def describe(self) -> dict[str, object]:
         """Return the state for the dump page."""
         state = self._dispatcher.describe(self._now())
-        if self._peers.sheds:
+        if self._peers.network_overloaded:
             # The targets are by far the largest part of the dump.
-            state["targets"] = "left out while the link is pressed"
+            state["targets"] = "omitted while the link is overloaded"
         return {
             "name": self._config.name,
             "life": self._incarnation,
@@ -190,14 +190,14 @@
         self._caller_server.closing = True
         self._context.event("leaving", jobs=self._dispatcher.job_count)
         self._context.spawn(self._store_follower.withdraw())
-        last = began + self._config.bounds.grace - END_MARGIN
-        self._dispatcher.leave(last)
-        noticed = min(began + BALANCER_DELAY_SECONDS, last)
-        while self._now() < noticed:
+        answer_by = began + self._config.bounds.grace - END_MARGIN
+        self._dispatcher.leave(answer_by)
+        balancer_noticed_at = min(began + BALANCER_DELAY_SECONDS, answer_by)
+        while self._now() < balancer_noticed_at:
             await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
         # The balancer sends no new connections now; callers may still use keep-alive ones.
         self._caller_server.close_idle()
-        while self._now() < last and self._dispatcher.job_count:
+        while self._now() < answer_by and self._dispatcher.job_count:
             await asyncio.sleep(SHUTDOWN_CHECK_SECONDS)
         self._act(self._dispatcher.finish(self._now()))
         self._flush()
@@ -219,7 +219,7 @@
         """Whether the balancer may send new connections to this entry."""
         if self.catalog.version == 0 or self._leaving:
             return False
-        if self._turns_away(self._now()):
+        if self._rejects_connections(self._now()):
             return False
         if self._readiness.should_be_unready(self._now()):
             return False
@@ -237,9 +237,9 @@
             else:
                 self._early_requests.hold(exchange)
             return
-        self._handle(exchange, 0.0)
+        self._submit(exchange, 0.0)
 
-    def _handle(self, exchange: Exchange, waited: float) -> None:
+    def _submit(self, exchange: Exchange, waited: float) -> None:
         """Submit a request that arrived `waited` seconds ago."""
         parsed = self._codec.read(exchange.request, self.catalog)
         if isinstance(parsed, Response):
@@ -326,7 +326,7 @@
             now = self._now()
             self._act(self._dispatcher.handle_frame(now, link.peer, frame))
             if self._dispatcher.needs_immediate_reply(now, link.peer, frame):
-                self._frame_due.add(link.peer)
+                self._replies_due.add(link.peer)
         else:
             self._peers.frame_received(link, frame)
 
@@ -337,7 +337,7 @@
             self._dispatcher.disconnected(self._now(), link.peer)
 
     def refuse(self, refusal: Refusal) -> None:
-        """Count and log a message that can't be decoded."""
+        """Count and log an invalid message, or an invalid part of one."""
         self._context.refuse(refusal)
 
     def entry_found(self, entry: EntryAddress) -> None:
@@ -364,18 +364,18 @@
         """Return the recorded losses of runners."""
         return self._dispatcher.known_losses(self._now())
 
-    def receive_loss(self, news: LossUpdate, source: str) -> None:
+    def receive_loss(self, update: LossUpdate, source: str) -> None:
         """Process another entry's report on a lost runner."""
-        self._act(self._dispatcher.handle_loss_update(self._now(), news, source))
+        self._act(self._dispatcher.handle_loss_update(self._now(), update, source))
 
     @property
     def speeds(self) -> Speeds:
         """The measured slowness of each kind of host."""
         return self._dispatcher.speeds
 
-    def receive_speeds(self, news: SpeedUpdate, source: str) -> None:
+    def receive_speeds(self, update: SpeedUpdate, source: str) -> None:
         """Process another entry's measurements of kinds of hosts."""
-        self._act(self._dispatcher.handle_speed_update(self._now(), news, source))
+        self._act(self._dispatcher.handle_speed_update(self._now(), update, source))
 
     def target_count(self) -> int:
         """Return the number of connected targets."""
@@ -413,7 +413,7 @@
         )
         self._peers.announce_catalog(catalog)
         for exchange, waited in self._early_requests.release():
-            self._handle(exchange, waited)
+            self._submit(exchange, waited)
 
     def catalog_requested(self, peer: str) -> None:
         """Log that another entry was asked for its configuration."""
@@ -433,7 +433,7 @@
             *self._caller_server.open_connections,
         ]
 
-    def _turns_away(self, now: float) -> bool:
+    def _rejects_connections(self, now: float) -> bool:
         return self._meter.pressure.rejects_connections(now) and self._has_alternative_entry()
 
     def _has_alternative_entry(self) -> bool:
@@ -448,16 +448,16 @@
         """
         now = self._now()
         level = self._meter.pressure.level
-        self._peers.sheds = level is not PressureLevel.NORMAL
-        pressed = level is PressureLevel.PRESSED
-        if self._turns_away(now):
+        self._peers.network_overloaded = level is not PressureLevel.NORMAL
+        overloaded = level is PressureLevel.PRESSED
+        if self._rejects_connections(now):
             self._unready_since = min(self._unready_since, now)
         else:
             self._unready_since = float("inf")
-        noticed = now >= self._unready_since + BALANCER_DELAY_SECONDS
-        self._caller_server.closing = self._leaving or noticed
+        balancer_noticed = now >= self._unready_since + BALANCER_DELAY_SECONDS
+        self._caller_server.closing = self._leaving or balancer_noticed
         refused = Refused("link_pressed", OVERLOAD_RETRY_SECONDS)
-        self._dispatcher.new_job_refusal = refused if pressed else None
+        self._dispatcher.new_job_refusal = refused if overloaded else None
 
     async def _tick_forever(self) -> None:
         due = self._now()
@@ -492,24 +492,24 @@
         self._act(self._dispatcher.place_waiting(self._now()), flush=False)
         for link in list(self._target_links.values()):
             session = self._dispatcher.session(link.peer)
-            if session is not None and (session.pending or link.peer in self._frame_due):
+            if session is not None and (session.pending or link.peer in self._replies_due):
                 self._send(link, session)
-        self._frame_due.clear()
-        self._schedule_answer_check()
+        self._replies_due.clear()
+        self._schedule_confirmation_check()
 
-    def _schedule_answer_check(self) -> None:
-        """Set the timer that checks idle targets for overdue answers."""
+    def _schedule_confirmation_check(self) -> None:
+        """Set the timer that checks idle targets for overdue liveness confirmations."""
         due = self._dispatcher.next_confirmation_deadline()
-        if due is not None and self._answers_timer is None:
+        if due is not None and self._confirmation_timer is None:
             due_in = due - self._now() + TIMER_MARGIN
-            self._answers_timer = self._loop.call_later(due_in, self._check_answers_soon)
+            self._confirmation_timer = self._loop.call_later(due_in, self._check_confirmations_soon)
 
-    def _check_answers_soon(self) -> None:
-        """Check for overdue answers, once those already received are processed."""
-        call_after_pending_io(self._loop, self._check_answers)
+    def _check_confirmations_soon(self) -> None:
+        """Check for overdue confirmations, once those already received are processed."""
+        call_after_pending_io(self._loop, self._check_confirmations)
 
-    def _check_answers(self) -> None:
-        self._answers_timer = None
+    def _check_confirmations(self) -> None:
+        self._confirmation_timer = None
         self._act(self._dispatcher.check_confirmations(self._now()))
 
     def _send(self, link: PeerLink, session: Session) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
@@ -8,14 +8,14 @@
 from paddleshunt_node.aio.sockets import AddressError, split_address
 
 MAX_NAME_LENGTH = 200
-"""Maximum characters of a name, and of a process's random id; both occur in log lines and in keys
+"""Maximum characters of a name, and of a process's incarnation; both occur in log lines and in keys
 of the store."""
 
 
 def entry_problem(entry: EntryAddress) -> str:
     """Return why an entry's name or address is invalid, or "" if both are valid."""
     if not 0 < len(entry.name) <= MAX_NAME_LENGTH or len(entry.incarnation) > MAX_NAME_LENGTH:
-        return "empty name, or name or life too long"
+        return f"empty name, or name or incarnation longer than {MAX_NAME_LENGTH} characters"
     try:
         split_address(entry.address)
     except AddressError as problem:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -45,12 +45,12 @@
 class PeerLink(SharedBufferProtocol):
     """One connection to a peer; `peer` is its name, empty until its hello arrives.
 
-    `silence` is the time-out of unacknowledged data, in seconds.
+    `ack_timeout` is the time-out of unacknowledged data, in seconds.
     """
 
-    def __init__(self, handler: PeerHandler, silence: float) -> None:
+    def __init__(self, handler: PeerHandler, ack_timeout: float) -> None:
         self._handler = handler
-        self._silence = silence
+        self._ack_timeout = ack_timeout
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
         self.peer = ""
@@ -63,7 +63,7 @@
         """Configure the new connection and notify the handler."""
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
-        set_socket_options(transport, self._silence)
+        set_socket_options(transport, self._ack_timeout)
         self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
@@ -72,7 +72,7 @@
         while len(self._buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if length > MAX_MESSAGE_BYTES:
-                self._refuse(f"message too long: {length} bytes")
+                self._refuse(f"message too long: {length} bytes, maximum {MAX_MESSAGE_BYTES}")
                 return
             if len(self._buffer) < LENGTH_BYTES + length:
                 return
@@ -110,6 +110,7 @@
             self._transport.abort()
 
     def _handle(self, message: bytes) -> bool:
+        """Decode a message and pass it on; return whether the connection is still open."""
         if self.peer:
             try:
                 frame = _frame_decoder.decode(message)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
@@ -1,6 +1,6 @@
 """An HTTP/1.1 client for one address, with a connection pool, time-outs and no retries.
 
-httptools parses the responses. The class of an error tells whether the request may have been sent.
+httptools parses the responses. The class of an error shows whether the request may have been sent.
 """
 
 import asyncio
@@ -63,6 +63,7 @@
         self._address = address
         self._idle: list[_Connection] = []
         self.connection_count = 0
+        """Number of connections made so far."""
 
     async def call(
         self,
@@ -78,7 +79,7 @@
         `may_send` is called once a connection is open; the request is written without awaiting
         anything in between.
         """
-        connection = await self._connection()
+        connection = await self._take_connection()
         if may_send is not None and not may_send():
             self._idle.append(connection)
             raise WithdrawnError("request withdrawn before it was sent")
@@ -114,7 +115,7 @@
         for connection in unproven:
             connection.close()
 
-    async def _connection(self) -> "_Connection":
+    async def _take_connection(self) -> "_Connection":
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
@@ -190,7 +191,7 @@
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > MAX_RESPONSE_BYTES:
-            self._abort(OSError("response body too long"))
+            self._abort(OSError(f"response body longer than {MAX_RESPONSE_BYTES} bytes"))
 
     def on_message_complete(self) -> None:
         self.last_response = clock.now()
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpserver.py
@@ -126,7 +126,9 @@
         self._target = b""
         self._headers: dict[str, str] = {}
         self._head_bytes = 0
+        """Bytes of the parsed request target and headers."""
         self._received_head_bytes = 0
+        """Bytes received while the head is incomplete."""
         self._in_head = False
         self._body = bytearray()
         self._in_message = False
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/linkmeter.py
@@ -73,10 +73,10 @@
         self._connections = connections
         self._echo = echo
         self._written: dict[MeteredConnection, int] = {}
-        """Bytes written to each connection by the last sample."""
+        """Bytes written to each connection up to the last sample."""
         self._total_written = 0
         self._due = 0.0
-        self._samples_taken = 0
+        self._kernel_samples = 0
         self._kernel_supported = True
         """Whether the system reports the kernel's send buffers."""
 
@@ -109,11 +109,9 @@
         """Take a sample, and log changes of the pressure level."""
         echo = self._echo()
         buffered = self._buffered_bytes()
-        thorough = any(buffered.values()) or self.pressure.needs_full_sample(echo)
+        full = any(buffered.values()) or self.pressure.needs_full_sample(echo)
         kernel = (
-            self._sample_kernel(buffered)
-            if thorough and self._kernel_supported
-            else _KernelBuffers()
+            self._sample_kernel(buffered) if full and self._kernel_supported else _KernelBuffers()
         )
         largest = max(buffered.values(), default=0)
         sample = LinkSample(
@@ -152,27 +150,28 @@
         """
         holders = [connection for connection, count in buffered.items() if count]
         others = [connection for connection, count in buffered.items() if not count]
-        self._samples_taken += 1
-        sampled = self._rotate(
+        self._kernel_samples += 1
+        sampled_holders = self._rotate(
             holders, min(KERNEL_SAMPLE_CONNECTIONS - KERNEL_SAMPLE_CONNECTIONS // 2, len(holders))
         )
-        idle = self._rotate(others, KERNEL_SAMPLE_CONNECTIONS - len(sampled))
+        sampled_others = self._rotate(others, KERNEL_SAMPLE_CONNECTIONS - len(sampled_holders))
         kernel_bytes = {
-            connection: self._kernel_bytes(connection) for connection in (*sampled, *idle)
+            connection: self._kernel_bytes(connection)
+            for connection in (*sampled_holders, *sampled_others)
         }
-        holder_factor = len(holders) / max(1, len(sampled))
-        idle_factor = len(others) / max(1, len(idle))
-        unsent = holder_factor * sum(map(kernel_bytes.__getitem__, sampled))
-        unsent += idle_factor * sum(map(kernel_bytes.__getitem__, idle))
+        holders_factor = len(holders) / max(1, len(sampled_holders))
+        others_factor = len(others) / max(1, len(sampled_others))
+        unsent = holders_factor * sum(map(kernel_bytes.__getitem__, sampled_holders))
+        unsent += others_factor * sum(map(kernel_bytes.__getitem__, sampled_others))
         return _KernelBuffers(
             round(unsent),
             max((buffered[one] + count for one, count in kernel_bytes.items()), default=0),
-            round(idle_factor * sum(kernel_bytes[one] > 0 for one in idle)),
+            round(others_factor * sum(kernel_bytes[one] > 0 for one in sampled_others)),
         )
 
     def _rotate(self, connections: list[MeteredConnection], count: int) -> list[MeteredConnection]:
         """Return `count` of the connections, from another position in each sample."""
-        first = self._samples_taken * count % max(1, len(connections))
+        first = self._kernel_samples * count % max(1, len(connections))
         return (connections[first:] + connections[:first])[:count]
 
     def _kernel_bytes(self, connection: MeteredConnection) -> int:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/logwriter.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/logwriter.py
@@ -41,7 +41,8 @@
 """Maximum seconds for which lines are buffered; a killed process loses them."""
 
 MAX_BLOCK_BYTES = 4096
-"""Maximum size of a write; writes to a pipe are atomic up to PIPE_BUF, 4096 bytes on Linux."""
+"""Maximum size of a write of several lines; writes to a pipe are atomic up to PIPE_BUF, 4096 bytes
+on Linux."""
 
 _LOGGER = "paddleshunt.leased"
 
@@ -139,7 +140,7 @@
         """Write the line of one event, if its kind's budget allows."""
         self.events[name] += 1
         if int(now) != self._second:
-            self._next_second(int(now))
+            self._start_second(int(now))
         self._written[name] += 1
         is_failure = name in FAILURE_EVENTS
         budget = MAX_FAILURE_LINES_PER_SECOND if is_failure else MAX_LINES_PER_SECOND
@@ -148,7 +149,7 @@
         if is_failure or not self._collect:
             self.flush()
 
-    def _next_second(self, second: int) -> None:
+    def _start_second(self, second: int) -> None:
         self._second = second
         for name, count in self._written.items():
             budget = (
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metrics.py
@@ -12,7 +12,7 @@
     from paddleshunt_node.aio.metricspage import MetricsPage
 
 MAX_STAGES = 4096
-"""Maximum number of recorded stage times, about 400 KB; above it, they are passed on."""
+"""Maximum number of recorded stage times, about 400 KB; above it, they are passed to the page."""
 
 Series = tuple[str, tuple[tuple[str, str], ...]]
 """The name of a counter, and the labels of one of its series."""
@@ -43,7 +43,7 @@
         self._stages: list[tuple[str, float]] = []
         self._gauges: dict[str, tuple[str, Callable[[], float]]] = {}
         self._page: MetricsPage | None = None
-        self._families: dict[str, tuple[str, Callable[[], Labelled]]] = {}
+        self._labelled_gauges: dict[str, tuple[str, Callable[[], Labelled]]] = {}
 
     def answered(self, outcome: str, reason: str) -> None:
         """Count an answer to a caller."""
@@ -57,15 +57,15 @@
         """Record the time spent in a stage."""
         self._stages.append((name, seconds))
         if len(self._stages) >= MAX_STAGES:
-            self._pass_stages()
+            self._export_stages()
 
     def gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
         """Add a gauge; `read` is called for each page."""
         self._gauges[name] = (doc, read)
 
-    def family(self, name: str, doc: str, read: Callable[[], Labelled]) -> None:
+    def labelled_gauge(self, name: str, doc: str, read: Callable[[], Labelled]) -> None:
         """Add a gauge with labels; `read` is called for each page."""
-        self._families[name] = (doc, read)
+        self._labelled_gauges[name] = (doc, read)
 
     def event(self, name: str) -> None:
         """Count an event."""
@@ -77,9 +77,9 @@
 
     def page(self) -> bytes:
         """Return the metrics page."""
-        return self._pass_stages().render(self._counts, self._gauges, self._families)
+        return self._export_stages().render(self._counts, self._gauges, self._labelled_gauges)
 
-    def _pass_stages(self) -> "MetricsPage":
+    def _export_stages(self) -> "MetricsPage":
         if self._page is None:
             from paddleshunt_node.aio.metricspage import MetricsPage
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/metricspage.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/metricspage.py
@@ -38,14 +38,14 @@
         self,
         counts: Mapping[Series, int],
         gauges: Mapping[str, tuple[str, Callable[[], float]]],
-        families: Mapping[str, tuple[str, Callable[[], Labelled]]],
+        labelled_gauges: Mapping[str, tuple[str, Callable[[], Labelled]]],
     ) -> bytes:
-        """Return the page with these counts, gauges, and labelled gauges (`families`)."""
+        """Return the page with these counts, gauges and labelled gauges."""
         for (name, labels), count in counts.items():
             self._counters[name].set(dict(labels), count)
         for name, (doc, read) in gauges.items():
             self._gauge(name, doc).set({}, read())
-        for name, (doc, read_all) in families.items():
+        for name, (doc, read_all) in labelled_gauges.items():
             for series, value in read_all():
                 self._gauge(name, doc).set(series, value)
         page: bytes = text.TextFormatter().marshall(self._registry)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -19,7 +19,7 @@
 
 
 class AddressError(ValueError):
-    """A text is no valid host:port."""
+    """A string isn't a valid host:port."""
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -49,10 +49,10 @@
     return await loop.create_server(factory, sock=listener, backlog=listening.BACKLOG)
 
 
-def set_socket_options(transport: asyncio.BaseTransport, silence: float) -> None:
-    """Disable Nagle's algorithm, and limit unacknowledged data to `silence` seconds."""
+def set_socket_options(transport: asyncio.BaseTransport, ack_timeout: float) -> None:
+    """Disable Nagle's algorithm, and time out data unacknowledged for `ack_timeout` seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(silence * 1000))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(ack_timeout * 1000))
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/targetservice.py
@@ -24,7 +24,6 @@
 from paddleshunt_core.leased.worker import Worker
 
 from paddleshunt_node.aio import clock
-from paddleshunt_node.aio.claims import UnconfirmedStatuses
 from paddleshunt_node.aio.dialer import Dialer
 from paddleshunt_node.aio.entryvalidation import valid_entries
 from paddleshunt_node.aio.framing import PeerLink
@@ -40,6 +39,7 @@
     Superseded,
 )
 from paddleshunt_node.aio.process import OperatorPages, ProcessContext, serve_pages
+from paddleshunt_node.aio.unconfirmed import UnconfirmedStatuses
 
 POLL_RETRY_SECONDS = 0.08
 """Seconds before the next poll after one without an answer, or with one that is partly invalid."""
@@ -167,8 +167,8 @@
     async def _leave(self) -> None:
         began = self._now()
         self._act(self._worker.leave(began))
-        last = began + self._config.bounds.grace - END_MARGIN
-        while self._now() < last and not self._worker.idle:
+        exit_at = began + self._config.bounds.grace - END_MARGIN
+        while self._now() < exit_at and not self._worker.idle:
             await asyncio.sleep(0.02)
         self._flush(heartbeat=True)
         await asyncio.sleep(FINAL_FLUSH_SECONDS)
@@ -209,7 +209,7 @@
         exchange.respond(self._codec.acknowledge())
 
     def _accept_status(self, runner_status: RunnerStatus) -> bool:
-        """Apply a status, or store it until it is confirmed; return whether either was done."""
+        """Apply a status, or store it until it is confirmed; return whether it is kept."""
         is_unconfirmed = self._worker.classify(runner_status) is HeartbeatClass.UNCONFIRMED
         if is_unconfirmed or runner_status.runner in self._unconfirmed:
             self._unconfirmed.keep(runner_status)
@@ -285,7 +285,7 @@
                 failures = 0
                 self._record_first_poll()
                 self._act(self._worker.poll_answered(now, answer))
-                # While an invalid end is listed, perhaps for good, the runner answers at once.
+                # The runner answers at once while it lists an invalid end, which may be forever.
                 if answer.partial:
                     await asyncio.sleep(POLL_RETRY_SECONDS)
                 elif poll.wait == 0:
@@ -406,7 +406,7 @@
             link.close()
 
     def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
-        """Count and log a message that can't be decoded."""
+        """Count and log an invalid message."""
         self._context.refuse(refusal)
 
     def connection_closed(self, link: PeerLink) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/claims.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/unconfirmed.py
@@ -6,7 +6,7 @@
 from paddleshunt_core.leased.runnerincarnation import RunnerIncarnation
 
 MAX_UNCONFIRMED = 32
-"""Incarnations kept; above it, the oldest is dropped."""
+"""Maximum number of incarnations; above it, the one stored first is dropped."""
 
 
 @final
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -93,11 +93,11 @@
     def receive_target_count(self, targets: int, source: str) -> None:
         self.target_counts.append((targets, source))
 
-    def receive_loss(self, news: LossUpdate, source: str) -> None:
-        self.received_losses.append((news, source))
+    def receive_loss(self, update: LossUpdate, source: str) -> None:
+        self.received_losses.append((update, source))
 
-    def receive_speeds(self, news: SpeedUpdate, source: str) -> None:
-        self.received_speeds.append((news, source))
+    def receive_speeds(self, update: SpeedUpdate, source: str) -> None:
+        self.received_speeds.append((update, source))
 
     def notify_targets(self, changes: EntryChanges) -> None:
         self.notified.append(changes)
@@ -177,7 +177,7 @@
     monkeypatch.setattr(entrypeers, "SHED_GOSSIP_SECONDS", 4 * ROUND)
 
     async def scenario(peers: EntryPeers, owner: Owner) -> None:
-        peers.sheds = True
+        peers.network_overloaded = True
         gossip = asyncio.ensure_future(peers.gossip_forever())
         await asyncio.sleep(3.5 * ROUND)
         gossip.cancel()
@@ -263,7 +263,7 @@
         for _ in range(2):
             request = Frame(1, 0, 0, 0, [CatalogVersion(6, wanted=True)])
             peers.frame_received(cast("PeerLink", link), request)
-        await asyncio.sleep(4 * entrypeers.MIN_SPREAD_INTERVAL_SECONDS)
+        await asyncio.sleep(4 * entrypeers.MIN_SYNC_INTERVAL_SECONDS)
         assert [unpack(body) for body in packed(link)] == [owner.catalog]
         assert owner.sent == [("e7", len(pack(owner.catalog).content))]
 
@@ -280,7 +280,7 @@
             link.peer = f"e{number}"
             version = CatalogVersion(number)
             peers.frame_received(cast("PeerLink", link), Frame(1, 0, 0, 0, [version]))
-        await asyncio.sleep(REQUEST_DELAY_SECONDS[1] + 4 * entrypeers.MIN_SPREAD_INTERVAL_SECONDS)
+        await asyncio.sleep(REQUEST_DELAY_SECONDS[1] + 4 * entrypeers.MIN_SYNC_INTERVAL_SECONDS)
         requested = [link.peer for link in links if link.frames]
         assert len(requested) == 1
         assert requested != ["e0"]
@@ -310,15 +310,15 @@
     return [body for body in bodies if isinstance(body, PackedCatalog)]
 
 
-@pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
+@pytest.mark.parametrize("update", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_runner_loss_is_broadcast_to_all_entries(
-    monkeypatch: pytest.MonkeyPatch, news: LossUpdate
+    monkeypatch: pytest.MonkeyPatch, update: LossUpdate
 ) -> None:
     links = [Link(), Link()]
 
     async def scenario(peers: EntryPeers, owner: Owner) -> None:
-        peers.broadcast_loss(news)
-        assert [link.frames[-1].bodies for link in links] == [[news], [news]]
+        peers.broadcast_loss(update)
+        assert [link.frames[-1].bodies for link in links] == [[update], [update]]
 
     run_scenario(monkeypatch, links, scenario)
 
@@ -335,16 +335,16 @@
     run_scenario(monkeypatch, [], scenario)
 
 
-@pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
+@pytest.mark.parametrize("update", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_received_runner_loss_is_passed_to_the_owner(
-    monkeypatch: pytest.MonkeyPatch, news: LossUpdate
+    monkeypatch: pytest.MonkeyPatch, update: LossUpdate
 ) -> None:
     link = Link()
     link.peer = "e7"
 
     async def scenario(peers: EntryPeers, owner: Owner) -> None:
-        peers.frame_received(link, Frame(1, 0, 0, 0, [news]))  # type: ignore[arg-type]
-        assert owner.received_losses == [(news, "e7")]
+        peers.frame_received(link, Frame(1, 0, 0, 0, [update]))  # type: ignore[arg-type]
+        assert owner.received_losses == [(update, "e7")]
 
     run_scenario(monkeypatch, [], scenario)
 
--- a/testing/node/aio/test_framing.py
+++ b/testing/node/aio/test_framing.py
@@ -65,7 +65,7 @@
     return len(message).to_bytes(4, "big") + message
 
 
-def greet(link: PeerLink) -> None:
+def send_hello(link: PeerLink) -> None:
     link.data_received(with_length(msgspec.msgpack.encode(HELLO)))
 
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("data", BAD.values(), ids=BAD.keys())
 def test_invalid_frame_is_refused_with_its_sender(data: bytes) -> None:
     link, handler, transport = connect()
-    greet(link)
+    send_hello(link)
     link.data_received(data)
     assert [(one.kind, one.sender) for one in handler.refusals] == [(InputKind.FRAME, "t1")]
     assert transport.aborted
@@ -111,7 +111,7 @@
 
 def test_messages_after_an_invalid_frame_are_ignored() -> None:
     link, handler, _ = connect()
-    greet(link)
+    send_hello(link)
     good = with_length(msgspec.msgpack.encode(FRAME))
     link.data_received(good + BAD["text"] + good)
     assert handler.frames == [FRAME]
@@ -124,14 +124,14 @@
 
 
 @settings(max_examples=150, derandomize=True, database=None, deadline=None)
-@given(message=values, cut=st.integers(0, 3), greeted=st.booleans())
-def test_any_input_is_decoded_or_refused(message: object, cut: int, greeted: bool) -> None:
+@given(message=values, cut=st.integers(0, 3), after_hello=st.booleans())
+def test_any_input_is_decoded_or_refused(message: object, cut: int, after_hello: bool) -> None:
     link, handler, transport = connect()
-    if greeted:
-        greet(link)
+    if after_hello:
+        send_hello(link)
     raw = msgspec.msgpack.encode(message)
     link.data_received(with_length(raw[: max(0, len(raw) - cut)]))
-    accepted = handler.frames if greeted else handler.hellos
+    accepted = handler.frames if after_hello else handler.hellos
     assert len(accepted) + len(handler.refusals) == 1
     assert transport.aborted is bool(handler.refusals)
 
@@ -140,7 +140,7 @@
 @given(position=st.integers(0, 4), value=values)
 def test_field_of_another_type_is_decoded_or_refused(position: int, value: object) -> None:
     link, handler, _ = connect()
-    greet(link)
+    send_hello(link)
     fields = [1, 0, 5, 5, [[8, 3]]]
     fields[position] = value  # type: ignore[call-overload]
     link.data_received(with_length(msgspec.msgpack.encode(fields)))
--- a/testing/node/aio/test_linkmeter.py
+++ b/testing/node/aio/test_linkmeter.py
@@ -308,7 +308,7 @@
         return self.service.catalog == CATALOG and len(self.service._peers.live()) == entries
 
     @property
-    def turns_away(self) -> bool:
+    def refuses_jobs(self) -> bool:
         """Whether it refuses new jobs."""
         return self.service._dispatcher.new_job_refusal is not None
 
@@ -365,11 +365,11 @@
     async def scenario(entry: Entry, pressure: Pressure) -> None:
         assert await entry.ready() == 200
         pressure.level = PressureLevel.PRESSED
-        await until_true(lambda: entry.turns_away)
+        await until_true(lambda: entry.refuses_jobs)
         assert await entry.ready() == 503
         assert await entry.submit("/q/1") == (503, b"link_pressed")
         pressure.level = PressureLevel.NORMAL
-        await until_true(lambda: not entry.turns_away)
+        await until_true(lambda: not entry.refuses_jobs)
         assert await entry.ready() == 200
         assert (await entry.submit("/q/2"))[1] != b"link_pressed"
 
@@ -381,7 +381,7 @@
 ) -> None:
     async def scenario(entry: Entry, pressure: Pressure) -> None:
         pressure.level = PressureLevel.PRESSED
-        await until_true(lambda: entry.turns_away)
+        await until_true(lambda: entry.refuses_jobs)
         assert await entry.submit("/q/1") == (503, b"link_pressed")
         assert float(await entry.retry_after("/q/2")) >= 1
 
@@ -391,7 +391,7 @@
 def test_overloaded_entry_without_peers_stays_ready(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(entry: Entry, pressure: Pressure) -> None:
         pressure.level = PressureLevel.PRESSED
-        await until_true(lambda: entry.turns_away)
+        await until_true(lambda: entry.refuses_jobs)
         assert await entry.ready() == 200
         assert await entry.submit("/q/1") == (503, b"link_pressed")
 
