--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entryvalidation.py
@@ -15,7 +15,7 @@
 def entry_problem(entry: EntryAddress) -> str:
     """Return why an entry's name or address is invalid, or "" if both are valid."""
     if not 0 < len(entry.name) <= MAX_NAME_LENGTH or len(entry.incarnation) > MAX_NAME_LENGTH:
-        return f"empty name, or name or incarnation longer than {MAX_NAME_LENGTH} characters"
+        return "empty name, or name or incarnation too long"
     try:
         split_address(entry.address)
     except AddressError as problem:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -72,7 +72,7 @@
         while len(self._buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if length > MAX_MESSAGE_BYTES:
-                self._refuse(f"message too long: {length} bytes, maximum {MAX_MESSAGE_BYTES}")
+                self._refuse(f"message too long: {length} bytes")
                 return
             if len(self._buffer) < LENGTH_BYTES + length:
                 return
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/httpclient.py
@@ -191,7 +191,7 @@
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > MAX_RESPONSE_BYTES:
-            self._abort(OSError(f"response body longer than {MAX_RESPONSE_BYTES} bytes"))
+            self._abort(OSError("response body too long"))
 
     def on_message_complete(self) -> None:
         self.last_response = clock.now()
