--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/entrypeers.py
@@ -42,13 +42,13 @@
 `ENTRY_ALIVE_SECONDS`."""
 
 ENTRY_ALIVE_SECONDS = 1.5
-"""Seconds since an entry's last message for which it counts as alive."""
+"""Seconds after an entry's last message during which it counts as alive."""
 
 ANNOUNCE_DELAY_SECONDS = 0.05
 """Seconds for which new entries are collected before they are announced to targets."""
 
 MIN_SYNC_INTERVAL_SECONDS = 0.02
-"""Minimum seconds between two steps of spreading a configuration."""
+"""Minimum seconds between two steps of the configuration's distribution."""
 
 
 class PeerOwner(Protocol):
@@ -97,7 +97,7 @@
         """Record an entry that is new or whose address has changed."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Record a message that can't be decoded."""
+        """Record an invalid message, or an invalid part of one."""
 
     def notify_targets(self, changes: EntryChanges) -> None:
         """Send all targets the entries that have joined or gone."""
@@ -107,7 +107,8 @@
 class EntryPeers:
     """Tracks the other entries, and exchanges gossip with them.
 
-    `hello` is sent over each new connection; `ack_timeout` is its time-out in seconds.
+    `hello` is sent over each new connection; `ack_timeout` is the connections' time-out of
+    unacknowledged data, in seconds.
     """
 
     def __init__(
@@ -126,6 +127,7 @@
         """The entries last announced to targets, by name."""
         self._announcing = False
         self._list_index = 0
+        """Index of the connection to which the list of live entries was last sent."""
         self.network_overloaded = False
         """Whether this host's link is overloaded, so that deferrable messages are left out."""
         self._catalog_sync = CatalogSync(Random(), link_mbps)
@@ -134,7 +136,7 @@
         self._packed = PackedCatalog(0, b"")
         self._sync_timer: asyncio.TimerHandle | None = None
         self._sync_due = 0.0
-        """When the timer fires."""
+        """When `_sync_timer` fires, while it is set."""
         self._dialer = Dialer(self, own.address, ack_timeout, lambda _: True)
 
     def set_seeds(self, addresses: set[str]) -> None:
@@ -211,9 +213,9 @@
                 EvacuationUpdate(self._owner.evacuations.known),
                 SessionCount(self._owner.target_count()),
             )
-            learned = self._owner.speeds.take_changes()
-            if learned is not None:
-                self._send_all(learned)
+            changed_speeds = self._owner.speeds.take_changes()
+            if changed_speeds is not None:
+                self._send_all(changed_speeds)
             links = self._dialer.links()
             if links and not self.network_overloaded:
                 self._list_index = (self._list_index + 1) % len(links)
@@ -301,16 +303,16 @@
         """Send a dialled entry the hello and the whole known state."""
         link.send(self._hello)
         speeds = self._owner.speeds.export()
-        known: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
+        updates: list[Body] = [*self._owner.known_losses(), *([speeds] if speeds else [])]
         version = CatalogVersion(self._owner.catalog.version)
-        link.send(_sessionless_frame(Entries(self.live()), version, *known))
+        link.send(_sessionless_frame(Entries(self.live()), version, *updates))
 
     def hello_received(self, link: PeerLink, hello: Hello) -> None:
         """Record an entry that was dialled."""
         self.record_entry(EntryAddress(hello.name, hello.address, hello.incarnation, hello.hall))
 
     def frame_received(self, link: PeerLink, frame: Frame) -> None:
-        """Process a frame of another entry, over either side's connection."""
+        """Process a frame of another entry, whichever side opened the connection."""
         for body in frame.bodies:
             self._handle_body(link, body)
         known = self._known.get(link.peer)
@@ -347,7 +349,7 @@
                 pass
 
     def message_refused(self, link: PeerLink, refusal: Refusal) -> None:
-        """Record a message that can't be decoded."""
+        """Record an invalid message."""
         self._owner.refuse(refusal)
 
     def connection_closed(self, link: PeerLink) -> None:
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/framing.py
@@ -110,6 +110,7 @@
             self._transport.abort()
 
     def _handle(self, message: bytes) -> bool:
+        """Decode a message and pass it on; return whether the connection is still open."""
         if self.peer:
             try:
                 frame = _frame_decoder.decode(message)
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -19,7 +19,7 @@
 
 
 class AddressError(ValueError):
-    """A text is no valid host:port."""
+    """A string isn't a valid host:port."""
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -50,7 +50,7 @@
 
 
 def set_socket_options(transport: asyncio.BaseTransport, ack_timeout: float) -> None:
-    """Disable Nagle's algorithm, and limit unacknowledged data to `ack_timeout` seconds."""
+    """Disable Nagle's algorithm, and time out data unacknowledged for `ack_timeout` seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/storefollower.py
@@ -46,6 +46,7 @@
         self._entry = entry
         self._owner = owner
         self._regained = asyncio.Event()
+        """Set when the store has become reachable again."""
 
     async def follow(self) -> None:
         """Pass each new configuration and evacuation to the owner until cancelled."""
@@ -80,8 +81,8 @@
             try:
                 await self._store.announce(self._entry, ADDRESS_TTL_SECONDS)
                 if self._owner.lacks_entries():
-                    for known in await self._store.entries():
-                        self._owner.entry_discovered(known)
+                    for entry in await self._store.entries():
+                        self._owner.entry_discovered(entry)
             except StoreUnavailableError:
                 await asyncio.sleep(STORE_RETRY_SECONDS)
                 continue
--- a/testing/node/aio/test_entrypeers.py
+++ b/testing/node/aio/test_entrypeers.py
@@ -310,7 +310,7 @@
     return [body for body in bodies if isinstance(body, PackedCatalog)]
 
 
-@pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
+@pytest.mark.parametrize("update", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_runner_loss_is_broadcast_to_all_entries(
     monkeypatch: pytest.MonkeyPatch, update: LossUpdate
 ) -> None:
@@ -335,7 +335,7 @@
     run_scenario(monkeypatch, [], scenario)
 
 
-@pytest.mark.parametrize("news", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
+@pytest.mark.parametrize("update", [LOST, RETURNED, SILENT], ids=["lost", "returned", "silent"])
 def test_received_runner_loss_is_passed_to_the_owner(
     monkeypatch: pytest.MonkeyPatch, update: LossUpdate
 ) -> None:
