--- a/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
@@ -153,7 +153,7 @@
         granted = self._call("lease/grant", {"TTL": str(seconds), "ID": "0"}, _Lease)
         return int(granted.ID) if isinstance(granted, _Lease) else granted
 
-    def keep_lease(self, lease: int) -> bool | StoreError:
+    def renew_lease(self, lease: int) -> bool | StoreError:
         """Renew a lease. Return False if it has expired."""
         kept = self._call("lease/keepalive", {"ID": str(lease)}, _LeaseLine)
         return int(kept.result.TTL) > 0 if isinstance(kept, _LeaseLine) else kept
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
@@ -98,5 +98,5 @@
     def grant_lease(self, seconds: int) -> int | StoreError:
         """Return the id of a new lease."""
 
-    def keep_lease(self, lease: int) -> bool | StoreError:
+    def renew_lease(self, lease: int) -> bool | StoreError:
         """Renew a lease. Return False if it has expired."""
--- a/testing/fakestore.py
+++ b/testing/fakestore.py
@@ -54,7 +54,7 @@
     def grant_lease(self, seconds: int) -> int | StoreError:
         raise NotImplementedError
 
-    def keep_lease(self, lease: int) -> bool | StoreError:
+    def renew_lease(self, lease: int) -> bool | StoreError:
         raise NotImplementedError
 
     def save(self) -> None:
--- a/testing/platform/test_etcd.py
+++ b/testing/platform/test_etcd.py
@@ -94,5 +94,5 @@
 def test_lease_is_granted_and_renewed(store: EtcdStore) -> None:
     lease = store.grant_lease(10)
     assert isinstance(lease, int)
-    assert store.keep_lease(lease) is True
-    assert store.keep_lease(lease + 1) is False
+    assert store.renew_lease(lease) is True
+    assert store.renew_lease(lease + 1) is False
