--- a/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/etcd.py
@@ -92,11 +92,11 @@
         self._pool = urllib3.PoolManager(retries=False, maxsize=2)
 
     def get(self, key: str) -> Value | StoreError | None:
-        """Return the key's value, None if there is none."""
+        """Return the key's value, None if the key is missing, or the error."""
         found = self._call("kv/range", {"key": _b64(key)}, _Range)
         if not isinstance(found, _Range):
             return found
-        return _value(found.kvs[0]) if found.kvs else None
+        return _decode_value(found.kvs[0]) if found.kvs else None
 
     def list(self, prefix: str) -> Listing | StoreError:
         """Return all values whose keys start with `prefix`."""
@@ -104,7 +104,7 @@
         found = self._call("kv/range", body, _Range)
         if not isinstance(found, _Range):
             return found
-        return Listing(tuple(_value(kv) for kv in found.kvs), int(found.header.revision))
+        return Listing(tuple(_decode_value(kv) for kv in found.kvs), int(found.header.revision))
 
     def compare_and_swap(
         self, key: str, data: bytes, version: int
@@ -116,17 +116,17 @@
             "success": [{"requestPut": {"key": encoded_key, "value": _b64(data)}}],
             "failure": [{"requestRange": {"key": encoded_key}}],
         }
-        done = self._call("kv/txn", body, _Txn)
-        if not isinstance(done, _Txn):
-            return done
-        if done.succeeded:
+        response = self._call("kv/txn", body, _Txn)
+        if not isinstance(response, _Txn):
+            return response
+        if response.succeeded:
             return Written()
-        ranges = [r.response_range for r in done.responses if r.response_range is not None]
+        ranges = [r.response_range for r in response.responses if r.response_range is not None]
         kvs = ranges[0].kvs if ranges else []
-        return VersionConflict(_value(kvs[0]) if kvs else None)
+        return VersionConflict(_decode_value(kvs[0]) if kvs else None)
 
     def watch(self, prefix: str, after: int) -> Iterator[Value | StoreError]:
-        """Yield values written under `prefix` after a revision; the last item is an error."""
+        """Yield values written under `prefix` after revision `after`; an error ends the watch."""
         request = {
             "key": _b64(prefix),
             "range_end": _b64(_range_end(prefix)),
@@ -197,7 +197,7 @@
     return {"key": encoded_key, "target": "MOD", "result": "EQUAL", "mod_revision": str(version)}
 
 
-def _value(kv: _KeyValue) -> Value:
+def _decode_value(kv: _KeyValue) -> Value:
     key = base64.b64decode(kv.key).decode()
     return Value(key, base64.b64decode(kv.value), int(kv.mod_revision))
 
@@ -217,4 +217,4 @@
     result = msgspec.json.decode(line, type=_WatchLine).result
     for event in result.events:
         if event.type != "DELETE":
-            yield _value(event.kv)
+            yield _decode_value(event.kv)
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/leasedsettings.py
@@ -142,6 +142,6 @@
 
 
 def seed_addresses(settings: LeasedFile) -> set[str]:
-    """Return the addresses on which the seeds listen for peers."""
+    """Return each seed's host with the port for peers, which replaces the seed's own port."""
     hosts = [seed.rpartition(":")[0] for seed in settings.peers.seeds]
     return {f"{host}:{settings.peers.port}" for host in hosts}
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/settings.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/settings.py
@@ -55,7 +55,7 @@
 
 @final
 class Platform(Section, frozen=True):
-    """URLs of the platform's key-value service (empty for a target) and host list."""
+    """URLs of the platform's key-value service (unset for a target) and host list."""
 
     hosts: Url
     store: Url | None = None
@@ -191,7 +191,7 @@
     field = re.search(r"(unknown|required) field `([^`]+)`", problem)
     if field is not None:
         key = ".".join(part for part in (section, field[2]) if part)
-        expected = "expected no such key" if field[1] == "unknown" else "expected a value"
+        expected = "unknown key" if field[1] == "unknown" else "expected a value"
         return SettingsError(file, key, expected)
     for pattern, expected in _PATTERN_DESCRIPTIONS.items():
         if pattern in problem:
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/ports.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/ports.py
@@ -12,7 +12,7 @@
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on, a different one at each call."""
+    """Return a port that nothing listens on; none repeats within `PORT_COUNT` attempts."""
     for offset in itertools.islice(_offsets, PORT_COUNT):
         port = FIRST_PORT + offset % PORT_COUNT
         with socket.socket() as probe:
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/standins/store.py
@@ -14,6 +14,7 @@
 from paddleshunt_platform.standins.server import Handler, StandIn
 
 _POLL_SECONDS = 0.2
+"""Longest wait for an event before a watch checks for an outage."""
 
 
 @dataclass
@@ -94,7 +95,11 @@
 
 @final
 class StoreStandIn(StandIn):
-    """The service; `down`, `delay` (seconds) and `lose_answers` (a count) inject faults."""
+    """The service, with faults set by attributes.
+
+    `down` is an outage, `delay` the seconds before each call is served, and `lose_answers` the
+    number of transactions that are served without an answer.
+    """
 
     def __init__(self, port: int = 0) -> None:
         self._state = _State()
@@ -118,7 +123,7 @@
             self._state = _copy(self._saved)
 
     def take_lost_answer(self) -> bool:
-        """Return whether to lose the answer to this write, and count it."""
+        """Return whether to drop the answer to this write; decrement `lose_answers` if so."""
         if self.lose_answers == 0:
             return False
         self.lose_answers -= 1
@@ -150,18 +155,18 @@
     def grant(self, seconds: int) -> dict[str, str]:
         """Serve `lease/grant`."""
         with self._changed:
-            number = 1000 + len(self._leases)
-            self._leases[number] = time.monotonic() + seconds
-            return {"ID": str(number), "TTL": str(seconds)}
+            lease_id = 1000 + len(self._leases)
+            self._leases[lease_id] = time.monotonic() + seconds
+            return {"ID": str(lease_id), "TTL": str(seconds)}
 
-    def keep_alive(self, number: int) -> dict[str, str]:
-        """Serve `lease/keepalive`; an expired lease has a time to live of 0."""
+    def keep_alive(self, lease_id: int) -> dict[str, str]:
+        """Serve `lease/keepalive`: renew for 10 s; an expired lease has a time to live of 0."""
         with self._changed:
-            remaining = self._leases.get(number, 0.0) - time.monotonic()
+            remaining = self._leases.get(lease_id, 0.0) - time.monotonic()
             if remaining <= 0:
-                return {"ID": str(number), "TTL": "0"}
-            self._leases[number] = time.monotonic() + 10
-            return {"ID": str(number), "TTL": "10"}
+                return {"ID": str(lease_id), "TTL": "0"}
+            self._leases[lease_id] = time.monotonic() + 10
+            return {"ID": str(lease_id), "TTL": "10"}
 
     def events_from(self, request: dict[str, Any], revision: int) -> list[dict[str, Any]]:
         """Return the writes from `revision` on that a watch covers; may wait briefly for one."""
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/store.py
@@ -1,7 +1,7 @@
 """Interface to the platform's key-value service, and the keys that the system uses there.
 
-Calls return errors as values. A write without an answer is `Unanswered`: it may have taken effect,
-which only reading the key back can tell.
+Calls return errors as values. A write without an answer is `Unanswered`: only reading the
+key back shows whether it took effect.
 """
 
 from collections.abc import Iterator
@@ -82,7 +82,7 @@
     """The operations that the system needs of a key-value service."""
 
     def get(self, key: str) -> Value | StoreError | None:
-        """Return the key's value, None if there is none."""
+        """Return the key's value, None if the key is missing, or the error."""
 
     def list(self, prefix: str) -> Listing | StoreError:
         """Return all values whose keys start with `prefix`."""
@@ -93,7 +93,7 @@
         """Write `data` if the key still has `version` (`ABSENT`: if it isn't there)."""
 
     def watch(self, prefix: str, after: int) -> Iterator[Value | StoreError]:
-        """Yield values written under `prefix` after a revision; the last item is an error."""
+        """Yield values written under `prefix` after revision `after`; an error ends the watch."""
 
     def grant_lease(self, seconds: int) -> int | StoreError:
         """Return the id of a new lease."""
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/tableedit.py
@@ -71,7 +71,7 @@
 
 
 def read_table(store: Store) -> StoredTable | NotApplied:
-    """Return the table that the store holds."""
+    """Return the table that the store holds, or why it can't be read."""
     found = store.get(TABLE_KEY)
     if found is None:
         return StoredTable(EMPTY_TABLE, ABSENT)
@@ -92,7 +92,7 @@
     in_force: TableDocument = EMPTY_TABLE,
     sleep: Callable[[float], None] = time.sleep,
 ) -> EditOutcome:
-    """Replace the table's rows if it is still at revision `base`.
+    """Replace the table's rows if it is still at revision `base`; `edit` is the edit's id.
 
     `in_force` is the newest table that entries use. If the store holds an older one, as after a
     restore, the edit is based on `in_force`, so that revisions never repeat.
@@ -109,14 +109,14 @@
         case Written():
             return Applied(revised)
         case VersionConflict():
-            return _conflict(store, rows, base)
+            return _conflict_outcome(store, rows, base)
         case Unreachable(reason):
             return NotApplied(f"the store can't be reached: {reason}")
         case Unanswered(reason):
             return _read_back_outcome(store, rows, base, edit, reason, sleep)
 
 
-def _conflict(store: Store, rows: list[Row], base: int) -> EditOutcome:
+def _conflict_outcome(store: Store, rows: list[Row], base: int) -> EditOutcome:
     found = read_table(store)
     if isinstance(found, NotApplied):
         return NotApplied("another edit came first")
--- a/packages/paddleshunt-platform/src/paddleshunt_platform/tablefile.py
+++ b/packages/paddleshunt-platform/src/paddleshunt_platform/tablefile.py
@@ -49,7 +49,7 @@
     if len(text.encode()) > MAX_TABLE_BYTES:
         raise TableError(1, "", f"expected at most {MAX_TABLE_BYTES} bytes")
     lines = text.lstrip("\ufeff").splitlines()
-    base = _base(lines)
+    base = _parse_base(lines)
     skipped = 0 if base is None else 1
     reader = csv.reader(lines[skipped:])
     rows: list[Row] = []
@@ -59,7 +59,7 @@
         for cells in reader:
             line = reader.line_num + skipped
             if any(cell.strip() for cell in cells):
-                row = _row(cells, line)
+                row = _parse_row(cells, line)
                 _check_duplicate(row, line, seen)
                 rows.append(row)
     except csv.Error as error:
@@ -80,7 +80,7 @@
     return buffer.getvalue()
 
 
-def _base(lines: list[str]) -> int | None:
+def _parse_base(lines: list[str]) -> int | None:
     found = _REVISION.match(lines[0].strip().strip('"')) if lines else None
     return int(found[1]) if found else None
 
@@ -98,23 +98,25 @@
     return ",".join(COLUMNS)
 
 
-def _row(cells: list[str], line: int) -> Row:
+def _parse_row(cells: list[str], line: int) -> Row:
     if len(cells) != len(COLUMNS):
         raise TableError(line, "", f"expected {len(COLUMNS)} cells, found {len(cells)}")
-    named = dict(zip(COLUMNS, (cell.strip() for cell in cells), strict=True))
-    numbers = [_number(named[column], line, column) for column in COLUMNS[2:]]
+    cell_of = dict(zip(COLUMNS, (cell.strip() for cell in cells), strict=True))
+    numbers = [_parse_number(cell_of[column], line, column) for column in COLUMNS[2:]]
     return Row(
-        _name(named["service"], line, "service"), _name(named["site"], line, "site"), *numbers
+        _parse_name(cell_of["service"], line, "service"),
+        _parse_name(cell_of["site"], line, "site"),
+        *numbers,
     )
 
 
-def _name(text: str, line: int, column: str) -> str:
+def _parse_name(text: str, line: int, column: str) -> str:
     if _NAME.match(text) is None:
         raise TableError(line, column, f"expected a name, found {text!r}")
     return text
 
 
-def _number(text: str, line: int, column: str) -> int:
+def _parse_number(text: str, line: int, column: str) -> int:
     if not text.isascii() or not text.isdigit() or int(text) > MAX_LIMIT:
         raise TableError(line, column, f"expected a number from 0 to {MAX_LIMIT}, found {text!r}")
     return int(text)
--- a/testing/council/test_catalog.py
+++ b/testing/council/test_catalog.py
@@ -136,6 +136,6 @@
         await store.next_update()
         standin.put("op/config", config(5))
         assert (await store.next_update()).catalog is None
-        assert [one.problem for one in refused] == ["version 5 after 8"]
+        assert [one.problem for one in refused] == ["expected version 8 or later, found 5"]
 
     play(scene, StoreStandIn(), refused.append)
--- a/testing/council/test_settings.py
+++ b/testing/council/test_settings.py
@@ -34,7 +34,7 @@
     ("text", "problem"),
     [
         ("[process", "file: expected TOML"),
-        ("unknown = 1\n", "unknown: expected no such key"),
+        ("unknown = 1\n", "unknown: unknown key"),
         (None, "file: can't be read"),
     ],
     ids=["not-toml", "unknown-key", "no-file"],
--- a/testing/platform/test_settings.py
+++ b/testing/platform/test_settings.py
@@ -56,7 +56,7 @@
         pytest.param('host = "e1"', "", "host: expected a value", id="missing"),
         pytest.param("slots = 8", 'slots = "8"', "runner.slots: expected `int`", id="type"),
         pytest.param("slots = 8", "slots = 0", r"runner.slots: expected `int` >= 1", id="range"),
-        pytest.param("slots = 8", "slot = 8", "runner.slot: expected no such key", id="unknown"),
+        pytest.param("slots = 8", "slot = 8", "runner.slot: unknown key", id="unknown"),
         pytest.param("127.0.0.1:7101", "7101", "listen.peers: expected an address", id="address"),
         pytest.param("http://127.0.0.1:3/", "x", "runner.url: expected a URL", id="url"),
         pytest.param('site = "hall"', 'site = "a b"', "site: expected a name", id="name"),
