--- a/packages/paddleshunt-cli/src/paddleshunt_cli/explain.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/explain.py
@@ -1,4 +1,4 @@
-"""`paddleshunt explain`: the way of one request through the log lines of several processes."""
+"""`paddleshunt explain`: trace one request through the logs of several processes."""
 
 import re
 import sys
@@ -30,29 +30,29 @@
         "life_confirmed",
     }
 )
-"""Events of a process that may decide a request which they don't name."""
+"""Process events that may affect the outcome of a request without naming it."""
 
 _ENTRY_EVENTS = frozenset({"started", "stopped", "leaving", "stood_still"})
-"""Events that say what became of an entry."""
+"""Events of an entry's process that may explain why its sessions ended."""
 
-_BEGUN = re.compile(r"answer=started|end=(done|failed|stopped|lost|stuck)\b")
-"""What a line on a run says if that has begun."""
+_RUN_BEGUN = re.compile(r"answer=started|end=(done|failed|stopped|lost|stuck)\b")
+"""Matches the log line of a run that has begun."""
 
 _REASON = re.compile(r"reason=(\S+)")
 
-_UNKNOWN = {
+_GIVEN_UP_CAUSES = {
     "ended_runners": "two runners that had one of its tasks have ended",
     "silent_runners": "two runners were lost under one of its tasks and may yet answer",
     "lost_sessions": "a runner and sessions with targets were lost under one of its tasks",
     "retries": "one of its tasks was tried too often in vain",
 }
-"""What is known, by its reason, of a job whose task is not started again."""
+"""Cause of the end of a job that was given up, by the reason in its answer."""
 
 
 @final
 @dataclass(frozen=True, slots=True, order=True)
 class Line:
-    """One log line: its time, the process that wrote it (empty if unknown), event and fields."""
+    """One log line; `node` is the process that wrote it, or empty if unknown."""
 
     time: str
     node: str
@@ -61,14 +61,14 @@
     job: str
 
     def concerns(self, key: str) -> bool:
-        """Whether the line names the request or a task of it."""
+        """Return whether the line names the request or one of its tasks."""
         return self.job == key or self.job.startswith(f"{key}.")
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """The lines of one request in order, and those that decided its end."""
+    """The lines of one request in order, the cause of its outcome and the lines that show it."""
 
     lines: list[Line]
     cause: str
@@ -76,7 +76,7 @@
 
 
 def read_line(raw: str, source: str = "") -> Line | None:
-    """Return the log line in `raw`, which may stand behind a time and a process's name."""
+    """Parse a log line, with or without a prefix of time and process name; None if it isn't one."""
     match = _LINE.match(raw)
     if match is None:
         return None
@@ -91,41 +91,43 @@
 
 
 def explain_request(lines: Iterable[Line], key: str) -> Explanation | None:
-    """Return the way of request `key`, or None if no line names it."""
-    known = sorted(lines)
-    own = [line for line in known if line.concerns(key)]
+    """Return the explanation of request `key`, or None if no line names it."""
+    in_order = sorted(lines)
+    own = [line for line in in_order if line.concerns(key)]
     if not own:
         return None
     entry = next((line.node for line in own if line.event == "job_admitted"), "")
     nodes = {line.node for line in own}
-    around = [
+    process_lines = [
         line
-        for line in known
+        for line in in_order
         if line.event in _PROCESS_EVENTS
         and own[0].time <= line.time <= own[-1].time
         and (line.node in nodes or (entry and f"entry={entry}" in line.text))
     ]
-    cause, deciding = _decide(own, around)
-    return Explanation(sorted([*own, *around]), cause, deciding)
+    cause, deciding = _find_cause(own, process_lines)
+    return Explanation(sorted([*own, *process_lines]), cause, deciding)
 
 
-def _decide(own: list[Line], around: list[Line]) -> tuple[str, list[Line]]:
-    """Return what decided the request's end, and the lines that show it."""
+def _find_cause(own: list[Line], process_lines: list[Line]) -> tuple[str, list[Line]]:
+    """Return the cause of the request's outcome, and the lines that show it."""
     answers = [line for line in own if line.event == "job_answered"]
     failures = [line for line in own if line.event == "run_ended" and "end=failed" in line.text]
     stopped = [line for line in own if "reason=session_ended" in line.text]
-    health = [line for line in around if line.event == "runner_health" and "sick" in line.text]
+    health = [
+        line for line in process_lines if line.event == "runner_health" and "sick" in line.text
+    ]
     if answers and "outcome=refused" in answers[-1].text:
-        return _decide_refused(own, answers[-1])
+        return _explain_refused(own, answers[-1])
     if answers and "outcome=failed" in answers[-1].text:
-        return _decide_failed(own, answers[-1])
+        return _explain_failed(own, answers[-1])
     if answers and "outcome=givenup" in answers[-1].text:
-        return _decide_unknown(own, around, answers[-1])
-    left = [line for line in own if line.event == "caller_left"]
-    if not answers and left and left[-1] == max([*left, *stopped]):
-        return "its caller's connection ended before its answer", [*stopped, *left]
+        return _explain_given_up(own, process_lines, answers[-1])
+    caller_left = [line for line in own if line.event == "caller_left"]
+    if not answers and caller_left and caller_left[-1] == max([*caller_left, *stopped]):
+        return "its caller's connection ended before its answer", [*stopped, *caller_left]
     if not answers and stopped:
-        return _decide_stopped(around, stopped)
+        return _explain_stopped(process_lines, stopped)
     if failures:
         return "delayed by failed runs", [*failures, *health, *answers]
     if answers:
@@ -133,56 +135,62 @@
     return "no end in these lines: ask for the log of the entry that took it", [own[-1]]
 
 
-def _decide_refused(own: list[Line], answer: Line) -> tuple[str, list[Line]]:
-    """Return what a refusal says of the request: an earlier try of its key may have run."""
-    begun = [line for line in own if line.event.startswith("run_") and _BEGUN.search(line.text)]
-    if begun:
+def _explain_refused(own: list[Line], answer: Line) -> tuple[str, list[Line]]:
+    """Explain a refusal; an earlier attempt under the same key may have run."""
+    begun_runs = [
+        line for line in own if line.event.startswith("run_") and _RUN_BEGUN.search(line.text)
+    ]
+    if begun_runs:
         return "refused: nothing of its last try has run, but an earlier one had begun", [
-            *begun,
+            *begun_runs,
             answer,
         ]
     return "refused: nothing of it has run", [answer]
 
 
-def _decide_stopped(around: list[Line], stopped: list[Line]) -> tuple[str, list[Line]]:
-    """Return what is known of a request without an answer whose targets ended their sessions.
+def _explain_stopped(process_lines: list[Line], stopped: list[Line]) -> tuple[str, list[Line]]:
+    """Explain a request without an answer whose targets ended their sessions with its entry.
 
-    Its entry may have ended, stood still or been cut off; only its own lines tell which.
+    The entry may have ended, paused or been disconnected; only its own log lines show which.
     """
-    over = [line for line in around if line.event == "session_ended"]
-    entry = [line for line in around if line.event in _ENTRY_EVENTS]
+    sessions_ended = [line for line in process_lines if line.event == "session_ended"]
+    entry_lines = [line for line in process_lines if line.event in _ENTRY_EVENTS]
     cause = "its targets heard no more of its entry, and stopped what it had started"
-    return cause, [*entry, *over, *stopped]
+    return cause, [*entry_lines, *sessions_ended, *stopped]
 
 
-def _decide_unknown(own: list[Line], around: list[Line], answer: Line) -> tuple[str, list[Line]]:
-    """Return why it is not known what became of a job, and the lines that show it."""
-    given_up = _given_up(own)
+def _explain_given_up(
+    own: list[Line], process_lines: list[Line], answer: Line
+) -> tuple[str, list[Line]]:
+    """Explain a job that was given up with an unknown outcome."""
+    given_up = _given_up_lines(own)
     reason = _reason(answer)
-    if given_up and reason in _UNKNOWN:
-        shown = [*_lost_runners(around, answer), *given_up, answer]
-        return f"given up: {_UNKNOWN[reason]}; its tasks may have run", shown
+    if given_up and reason in _GIVEN_UP_CAUSES:
+        shown = [*_lost_runners(process_lines, answer), *given_up, answer]
+        return f"given up: {_GIVEN_UP_CAUSES[reason]}; its tasks may have run", shown
     failures = [line for line in own if line.event == "run_ended" and "end=failed" in line.text]
-    why = f" ({reason})" if reason else ""
-    return f"given up{why}: its tasks may have run", [*failures, answer]
+    suffix = f" ({reason})" if reason else ""
+    return f"given up{suffix}: its tasks may have run", [*failures, answer]
 
 
-def _given_up(own: list[Line]) -> list[Line]:
+def _given_up_lines(own: list[Line]) -> list[Line]:
     return [line for line in own if line.event == "job_given_up"]
 
 
-def _lost_runners(around: list[Line], answer: Line) -> list[Line]:
-    """Return the lines on lost runners that name a run of the job."""
-    return [line for line in around if line.event == "runner_lost" and answer.job in line.text]
+def _lost_runners(process_lines: list[Line], answer: Line) -> list[Line]:
+    """Return the lines of lost runners that name a run of the job."""
+    return [
+        line for line in process_lines if line.event == "runner_lost" and answer.job in line.text
+    ]
 
 
 def _reason(line: Line) -> str:
-    found = _REASON.search(line.text)
-    return found[1] if found else ""
+    match = _REASON.search(line.text)
+    return match[1] if match else ""
 
 
-def _decide_failed(own: list[Line], answer: Line) -> tuple[str, list[Line]]:
-    """Return why a job was answered as failed, and the lines that show it."""
+def _explain_failed(own: list[Line], answer: Line) -> tuple[str, list[Line]]:
+    """Explain a job that was answered as failed."""
     failures = [line for line in own if line.event == "run_ended" and "end=failed" in line.text]
     if "reason=attempts" not in answer.text:
         return "failed: these lines don't show why", [*failures, answer]
@@ -193,19 +201,19 @@
 @click.argument("key")
 @click.argument("files", nargs=-1, type=click.Path(path_type=Path, dir_okay=False, exists=True))
 def explain(key: str, files: tuple[Path, ...]) -> None:
-    """Print the way of request KEY through the log FILES (or standard input)."""
-    lines = [line for line in _read(files) if line is not None]
+    """Trace request KEY through the log FILES (or standard input)."""
+    lines = [line for line in _read_lines(files) if line is not None]
     explanation = explain_request(lines, key)
     if explanation is None:
         raise click.ClickException(f"no line of {key} in {len(lines)} log lines")
     for line in explanation.lines:
-        click.echo(_shown(line))
+        click.echo(_format_line(line))
     click.echo(f"cause: {explanation.cause}")
     for line in explanation.deciding:
-        click.echo(f"  {_shown(line)}")
+        click.echo(f"  {_format_line(line)}")
 
 
-def _read(files: tuple[Path, ...]) -> Iterable[Line | None]:
+def _read_lines(files: tuple[Path, ...]) -> Iterable[Line | None]:
     if not files:
         for raw in sys.stdin:
             yield read_line(raw)
@@ -214,5 +222,5 @@
             yield read_line(raw, file.stem)
 
 
-def _shown(line: Line) -> str:
+def _format_line(line: Line) -> str:
     return f"{line.time} {line.node} {line.event} {line.text}"
--- a/packages/paddleshunt-cli/src/paddleshunt_cli/replay.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/replay.py
@@ -1,6 +1,6 @@
-"""`paddleshunt trace` and `replay`: from logs to a trace, and a trace through the checker.
+"""`paddleshunt trace` and `replay`: make a trace from logs, and check a trace.
 
-A trace is a file of JSON lines, one event each, in the order of time.
+A trace is a file of JSON lines, one event each, in order of time.
 """
 
 import shlex
@@ -21,11 +21,11 @@
     Submitted,
 )
 
-BROKEN = 1
-"""Exit status when a rule was broken."""
+EXIT_VIOLATIONS = 1
+"""Exit status if the trace violates a rule."""
 
-UNREADABLE = 2
-"""Exit status when a line can't be read."""
+EXIT_UNREADABLE = 2
+"""Exit status if a line is not a valid event."""
 
 _FILE = click.Path(path_type=Path, dir_okay=False, exists=True)
 
@@ -33,7 +33,7 @@
 @click.command()
 @click.argument("file", type=_FILE)
 def replay(file: Path) -> None:
-    """Check a trace (JSON lines) against what must always hold."""
+    """Check a trace (JSON lines) against the rules that must always hold."""
     checker = Checker()
     count = 0
     decoder = msgspec.json.Decoder(Event)
@@ -42,21 +42,21 @@
             checker.take(decoder.decode(line))
         except msgspec.MsgspecError as error:
             click.echo(f"{file}: line {number}: {error}", err=True)
-            raise SystemExit(UNREADABLE) from error
+            raise SystemExit(EXIT_UNREADABLE) from error
         count += 1
     for violation in checker.violations:
         click.echo(str(violation), err=True)
     click.echo(f"{count} events, {len(checker.starts)} tasks, {len(checker.violations)} violations")
     if checker.violations:
-        raise SystemExit(BROKEN)
+        raise SystemExit(EXIT_VIOLATIONS)
 
 
 @click.command()
 @click.argument("logs", type=_FILE, nargs=-1, required=True)
 def trace(logs: tuple[Path, ...]) -> None:
-    """Print a trace made from the logs of entries and targets, one log a process."""
+    """Print a trace made from the LOGS of entries and targets, one log per process."""
     events = [event for log in logs for event in read_log(log.read_text().splitlines())]
-    for event in sorted(events, key=lambda each: each.time):
+    for event in sorted(events, key=lambda event: event.time):
         click.echo(msgspec.json.encode(event).decode())
 
 
@@ -64,20 +64,20 @@
     """Yield the events in the log of one process."""
     process = service = ""
     for line in lines:
-        fields = _fields(line)
+        fields = _parse_fields(line)
         if fields.get("event") == "started":
             process = fields.get("incarnation", "")
             service = fields.get("service", "")
-        event = _event(fields, process, service)
+        event = _to_event(fields, process, service)
         if event is not None:
             yield event
 
 
-def _fields(line: str) -> dict[str, str]:
+def _parse_fields(line: str) -> dict[str, str]:
     return dict(word.split("=", 1) for word in shlex.split(line) if "=" in word)
 
 
-def _event(fields: dict[str, str], process: str, service: str) -> Event | None:
+def _to_event(fields: dict[str, str], process: str, service: str) -> Event | None:
     if "time" not in fields:
         return None
     time = datetime.fromisoformat(fields["time"]).timestamp()
--- a/packages/paddleshunt-cli/src/paddleshunt_cli/status.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/status.py
@@ -1,4 +1,4 @@
-"""`paddleshunt status`: one screen that says how every row of the table is doing."""
+"""`paddleshunt status`: show the state of every row of the table on one screen."""
 
 import json
 import time
@@ -17,10 +17,11 @@
 @final
 @dataclass(slots=True)
 class RowStatus:
-    """A row of the table with what the entries say of it.
+    """A row of the table and the state that the entries report for it.
 
-    `share` and `wanted` are the parts of the service's new submissions in percent: those that the
-    site got since the entries started, and those that its weight says.
+    `share` and `wanted` are percentages of the service's new submissions: the part that the site
+    got since the entries started, and the part that its weight calls for. `behind` counts targets
+    that follow an older table.
     """
 
     service: str
@@ -40,7 +41,7 @@
 @final
 @dataclass(slots=True)
 class Status:
-    """All rows, answers by service and outcome, and what is not as it should be."""
+    """All rows, the answer counts by service and outcome, and warnings."""
 
     revision: int
     rows: list[RowStatus] = field(default_factory=list)
@@ -53,13 +54,13 @@
 @click.option("--watch", is_flag=True, help="Print again every two seconds.")
 @entries_option
 def status(as_json: bool, watch: bool, entries: tuple[str, ...]) -> None:
-    """Show targets, work against limits and traffic against weights, row by row."""
+    """Show targets, load against limits and traffic against weights for each row."""
     if not entries:
         raise click.UsageError("give at least one --entry, or set PADDLESHUNT_ENTRIES")
     clients = [EntryClient(url) for url in entries]
     while True:
-        found = gather(clients)
-        text = json.dumps(asdict(found)) if as_json else render(found)
+        summary = gather(clients)
+        text = json.dumps(asdict(summary)) if as_json else render(summary)
         if watch and not as_json:
             click.clear()
         click.echo(text)
@@ -69,7 +70,7 @@
 
 
 def gather(clients: list[EntryClient]) -> Status:
-    """Ask all entries, and put together what they say."""
+    """Query all entries and combine their state dumps."""
     dumps: list[dict[str, Any]] = []
     warnings: list[str] = []
     for client in clients:
@@ -81,19 +82,19 @@
     if not dumps:
         raise click.ClickException("; ".join(warnings))
     newest = max(dumps, key=lambda dump: int(dump["table"]["revision"]))
-    found = Status(int(newest["table"]["revision"]), warnings=warnings)
+    summary = Status(int(newest["table"]["revision"]), warnings=warnings)
     members = _freshest_members(dumps)
-    found.rows = _rows(newest, members, dumps)
-    found.answers = _answers(dumps)
-    found.warnings += _warnings(dumps, found)
-    return found
+    summary.rows = _rows(newest, members, dumps)
+    summary.answers = _count_answers(dumps)
+    summary.warnings += _find_warnings(dumps, summary)
+    return summary
 
 
-def render(found: Status) -> str:
-    """Return the screen."""
-    heads = ("service", "site", "live", "leaving", "suspect", "running", "in flight", "traffic")
-    lines = [[*heads, "not in force"]]
-    for row in found.rows:
+def render(summary: Status) -> str:
+    """Return the status as text."""
+    headers = ("service", "site", "live", "leaving", "suspect", "running", "in flight", "traffic")
+    lines = [[*headers, "not in force"]]
+    for row in summary.rows:
         lines.append(
             [
                 row.service,
@@ -108,18 +109,20 @@
             ]
         )
     widths = [max(len(line[column]) for line in lines) for column in range(len(lines[0]))]
-    text = [f"table revision {found.revision}"]
+    text = [f"table revision {summary.revision}"]
     for line in lines:
-        text.append("  ".join(c.ljust(w) for c, w in zip(line, widths, strict=True)).rstrip())
-    for service, answers in sorted(found.answers.items()):
+        text.append(
+            "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
+        )
+    for service, answers in sorted(summary.answers.items()):
         counts = ", ".join(f"{kind} {count}" for kind, count in sorted(answers.items()))
         text.append(f"answers of {service}: {counts}")
-    text += [f"! {warning}" for warning in found.warnings]
+    text += [f"! {warning}" for warning in summary.warnings]
     return "\n".join(text)
 
 
 def _freshest_members(dumps: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return each target as the entry tells it that heard it last."""
+    """Return each target as reported by the entry with its latest heartbeat."""
     freshest: dict[str, dict[str, Any]] = {}
     for member in (member for dump in dumps for member in dump["members"]):
         known = freshest.get(member["incarnation"])
@@ -135,19 +138,19 @@
     weights: Counter[str] = Counter()
     for service, _site, weight, *_ in newest["table"]["rows"]:
         weights[service] += weight
-    minted = _minted(dumps)
+    minted = _count_minted(dumps)
     for service, site, weight, max_running, max_in_flight in newest["table"]["rows"]:
         row = RowStatus(service, site, max_running=max_running, max_in_flight=max_in_flight)
         row.wanted = _percent(weight, weights[service])
         row.share = _percent(minted[(service, site)], _total(minted, service))
         for member in members:
             if (member["service"], member["site"]) == (service, site):
-                _count(row, member, int(newest["table"]["revision"]))
+                _add_member(row, member, int(newest["table"]["revision"]))
         rows.append(row)
     return rows
 
 
-def _count(row: RowStatus, member: dict[str, Any], revision: int) -> None:
+def _add_member(row: RowStatus, member: dict[str, Any], revision: int) -> None:
     _slots, running, queued, _jobs = member["load"]
     row.running += running
     row.in_flight += running + queued
@@ -157,7 +160,7 @@
     row.behind += int(member["table_revision"]) < revision
 
 
-def _minted(dumps: list[dict[str, Any]]) -> Counter[tuple[str, str]]:
+def _count_minted(dumps: list[dict[str, Any]]) -> Counter[tuple[str, str]]:
     minted: Counter[tuple[str, str]] = Counter()
     for dump in dumps:
         for service, tally in dump["tallies"].items():
@@ -165,12 +168,12 @@
     return minted
 
 
-def _answers(dumps: list[dict[str, Any]]) -> dict[str, dict[str, int]]:
-    found: dict[str, Counter[str]] = {}
+def _count_answers(dumps: list[dict[str, Any]]) -> dict[str, dict[str, int]]:
+    counts_by_service: dict[str, Counter[str]] = {}
     for dump in dumps:
         for service, tally in dump["tallies"].items():
-            found.setdefault(service, Counter()).update(tally["answers"])
-    return {service: dict(counts) for service, counts in found.items()}
+            counts_by_service.setdefault(service, Counter()).update(tally["answers"])
+    return {service: dict(counts) for service, counts in counts_by_service.items()}
 
 
 def _total(minted: Counter[tuple[str, str]], service: str) -> int:
@@ -181,17 +184,17 @@
     return round(100 * part / whole) if whole else 0
 
 
-def _warnings(dumps: list[dict[str, Any]], found: Status) -> list[str]:
+def _find_warnings(dumps: list[dict[str, Any]], summary: Status) -> list[str]:
     warnings: list[str] = []
     for dump in dumps:
         name = dump["incarnation"]
         if not dump["store_reachable"]:
             warnings.append(f"{name}: the store can't be reached")
         if dump["store_went_back_to"] is not None:
-            warnings.append(f"{name}: the store went back to {dump['store_went_back_to']}")
-        if int(dump["table"]["revision"]) < found.revision:
+            warnings.append(f"{name}: the store went back to revision {dump['store_went_back_to']}")
+        if int(dump["table"]["revision"]) < summary.revision:
             warnings.append(f"{name}: follows revision {dump['table']['revision']}")
-    for row in found.rows:
+    for row in summary.rows:
         if row.live == 0 and row.wanted > 0:
             warnings.append(f"{row.service} at {row.site}: no live target")
     return warnings
--- a/packages/paddleshunt-cli/src/paddleshunt_cli/submit.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/submit.py
@@ -1,4 +1,4 @@
-"""`paddleshunt submit`: mint an id, submit under it, and ask again with it while that helps."""
+"""`paddleshunt submit`: get a submission id, submit under it, and retry with the same id."""
 
 import time
 from pathlib import Path
@@ -9,8 +9,8 @@
 
 from paddleshunt_cli.entries import EntryClient, EntryError, Reply
 
-REPLY_GRACE = 10.0
-"""Seconds past the deadline for which an answer is awaited."""
+REPLY_GRACE_SECONDS = 10.0
+"""Time past the job's deadline to wait for its answer."""
 
 DEFAULT_DEADLINE_MS = 10_000
 
@@ -21,20 +21,20 @@
 
 
 def submit_job(clients: list[EntryClient], job: dict[str, Any], tries: int) -> dict[str, Any]:
-    """Submit a job and return its answer; an attempt that went nowhere is made again."""
-    submission = _mint(clients, str(job.get("service", "")), tries)
+    """Submit a job and return its answer, with up to `tries` attempts while it isn't accepted."""
+    submission = _mint_id(clients, str(job.get("service", "")), tries)
     body = msgspec.json.encode(job)
-    seconds = job.get("deadline_ms", DEFAULT_DEADLINE_MS) / 1000 + REPLY_GRACE
+    timeout = job.get("deadline_ms", DEFAULT_DEADLINE_MS) / 1000 + REPLY_GRACE_SECONDS
     answer: dict[str, Any] = {"id": submission, "outcome": "not_accepted"}
     for attempt in range(tries):
         client = clients[attempt % len(clients)]
-        reply = client.call("PUT", f"/v1/submissions/{submission}", body, seconds)
+        reply = client.call("PUT", f"/v1/submissions/{submission}", body, timeout)
         if isinstance(reply, EntryError):
-            click.echo(f"{reply}; asking again with the same id", err=True)
+            click.echo(f"{reply}; retrying with the same id", err=True)
             answer = {"id": submission, "outcome": "unknown", "reason": reply.reason}
             time.sleep(0.5)
             continue
-        answer = _checked(reply)
+        answer = _checked_answer(reply)
         if answer.get("outcome") != "not_accepted":
             return answer
         time.sleep(max(0.2, reply.retry_after))
@@ -54,7 +54,7 @@
     return job
 
 
-def _mint(clients: list[EntryClient], service: str, tries: int) -> str:
+def _mint_id(clients: list[EntryClient], service: str, tries: int) -> str:
     problem = ""
     for attempt in range(tries):
         client = clients[attempt % len(clients)]
@@ -65,13 +65,13 @@
         elif reply.status == _CREATED:
             return str(reply.body["id"])
         else:
-            problem = _checked(reply).get("reason", "refused")
+            problem = _checked_answer(reply).get("reason", "refused")
         time.sleep(0.5)
-    raise click.ClickException(f"no id could be had: {problem}")
+    raise click.ClickException(f"no submission id after {tries} attempts: {problem}")
 
 
-def _checked(reply: Reply) -> dict[str, Any]:
-    """Return the answer in a reply; an error that names a field ends the command."""
+def _checked_answer(reply: Reply) -> dict[str, Any]:
+    """Return the answer in a reply; raise ClickException if the entry rejected the request."""
     if isinstance(reply.body, dict) and "error" in reply.body:
         field = reply.body.get("field", "request")
         raise click.ClickException(f"{field}: {reply.body['error']}")
--- a/packages/paddleshunt-cli/src/paddleshunt_cli/table.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/table.py
@@ -1,4 +1,4 @@
-"""`paddleshunt table`: show, check, compare and apply the operators' table, and see it in force."""
+"""`paddleshunt table`: show, check, compare and apply the operators' table."""
 
 import secrets
 import time
@@ -20,11 +20,11 @@
 from paddleshunt_cli.entries import EntryClient, EntryError, newest_table
 from paddleshunt_cli.options import entries_option, store_option
 
-BAD_TABLE = 2
-CONFLICT = 3
-NOT_APPLIED = 4
-NOT_KNOWN = 5
-NOT_IN_FORCE = 6
+EXIT_INVALID_TABLE = 2
+EXIT_CONFLICT = 3
+EXIT_NOT_APPLIED = 4
+EXIT_OUTCOME_UNKNOWN = 5
+EXIT_NOT_IN_FORCE = 6
 
 _FILE = click.Path(path_type=Path, dir_okay=False)
 
@@ -39,14 +39,14 @@
 @entries_option
 def show(store: str, entries: tuple[str, ...]) -> None:
     """Print the table as CSV, with the revision to edit from."""
-    click.echo(format_table(_current(store, entries)), nl=False)
+    click.echo(format_table(_current_table(store, entries)), nl=False)
 
 
 @table.command()
 @click.argument("file", type=_FILE)
 def check(file: Path) -> None:
     """Check a table file without applying it."""
-    rows = _read(file).rows
+    rows = _read_file(file).rows
     click.echo(f"{file}: ok, {len(rows)} rows")
 
 
@@ -56,13 +56,13 @@
 @entries_option
 def diff(file: Path, store: str, entries: tuple[str, ...]) -> None:
     """Print what applying a file would change."""
-    edited = _read(file)
-    _print_changes(changes(_current(store, entries).rows, edited.rows))
+    edited = _read_file(file)
+    _print_changes(changes(_current_table(store, entries).rows, edited.rows))
 
 
 @table.command()
 @click.argument("file", type=_FILE)
-@click.option("--base", type=int, help="Revision the file was made from, if it doesn't say.")
+@click.option("--base", type=int, help="Revision the file was made from, if it doesn't state one.")
 @click.option("--key", envvar="PADDLESHUNT_KEY", default="", help="The operators' key.")
 @click.option("--drop", multiple=True, metavar="SERVICE", help="Let a service lose all its rows.")
 @click.option("--wait", default=11.0, show_default=True, help="Seconds to wait for all targets.")
@@ -78,11 +78,11 @@
     entries: tuple[str, ...],
 ) -> None:
     """Apply a table file, and report where it is in force."""
-    edited = _read(file)
+    edited = _read_file(file)
     revision = edited.base if base is None else base
     if revision is None:
-        raise click.UsageError("the file doesn't say its revision; give --base")
-    _check_services(file, edited.rows, _current(store, entries).rows, drop)
+        raise click.UsageError("the file states no base revision; give --base")
+    _check_services(file, edited.rows, _current_table(store, entries).rows, drop)
     clients = [EntryClient(url, key) for url in entries]
     edit = secrets.token_hex(8)
     in_force = newest_table(clients)
@@ -90,16 +90,16 @@
     match outcome:
         case Applied(document):
             click.echo(f"accepted as revision {document.revision}")
-            _hand_over(clients, document)
+            _send_table(clients, document)
             _exit_unless_in_force(clients, document.revision, wait)
         case EditConflict():
             _report_conflict(outcome)
         case NotApplied(reason):
             click.echo(f"not applied: {reason}", err=True)
-            raise SystemExit(NOT_APPLIED)
+            raise SystemExit(EXIT_NOT_APPLIED)
         case OutcomeUnknown(name, reason):
             click.echo(f"not known whether it was applied (edit {name}): {reason}", err=True)
-            raise SystemExit(NOT_KNOWN)
+            raise SystemExit(EXIT_OUTCOME_UNKNOWN)
 
 
 @table.command()
@@ -109,12 +109,12 @@
     clients = [EntryClient(url) for url in entries]
     newest = newest_table(clients).revision
     click.echo(f"newest revision: {newest}")
-    behind = _behind(clients, newest, tell=True)
+    behind = _find_behind(clients, newest, report=True)
     if behind:
-        raise SystemExit(NOT_IN_FORCE)
+        raise SystemExit(EXIT_NOT_IN_FORCE)
 
 
-def _read(file: Path) -> TableFile:
+def _read_file(file: Path) -> TableFile:
     try:
         return parse_table(file.read_text(encoding="utf-8"))
     except OSError as error:
@@ -123,24 +123,24 @@
         click.echo(f"{file}: expected UTF-8 text", err=True)
     except TableError as error:
         click.echo(f"{file}: {error}", err=True)
-    raise SystemExit(BAD_TABLE)
+    raise SystemExit(EXIT_INVALID_TABLE)
 
 
 def _check_services(file: Path, rows: list[Row], current: list[Row], drop: tuple[str, ...]) -> None:
-    """Refuse a table in which a service would lose its last row unasked."""
+    """Exit if a service would lose its last row and isn't in `drop`."""
     kept = {row.service for row in rows} | set(drop)
     for service in sorted({row.service for row in current} - kept):
         text = f"column service: expected a row for {service}, or --drop {service}"
         click.echo(f"{file}: {text}", err=True)
-        raise SystemExit(BAD_TABLE)
+        raise SystemExit(EXIT_INVALID_TABLE)
 
 
-def _current(store: str, entries: tuple[str, ...]) -> TableDocument:
+def _current_table(store: str, entries: tuple[str, ...]) -> TableDocument:
     """Return the newest table that the store holds or an entry follows."""
     stored = read_table(EtcdStore(store))
     document = EMPTY_TABLE if isinstance(stored, NotApplied) else stored.document
     in_force = newest_table([EntryClient(url) for url in entries])
-    newest = max(document, in_force, key=lambda each: each.revision)
+    newest = max(document, in_force, key=lambda table: table.revision)
     if newest.revision == 0 and isinstance(stored, NotApplied):
         raise click.ClickException(stored.reason)
     if in_force.revision > document.revision and not isinstance(stored, NotApplied):
@@ -149,28 +149,28 @@
     return newest
 
 
-def _hand_over(clients: list[EntryClient], document: TableDocument) -> None:
+def _send_table(clients: list[EntryClient], document: TableDocument) -> None:
     for client in clients:
-        problem = client.hand_table(document)
+        problem = client.send_table(document)
         if problem is not None:
-            click.echo(f"could not hand the table to {problem}", err=True)
+            click.echo(f"could not send the table to {problem}", err=True)
 
 
 def _exit_unless_in_force(clients: list[EntryClient], revision: int, wait: float) -> None:
     if not clients:
-        click.echo("no entries given, so not checked where it is in force", err=True)
+        click.echo("no --entry given; not checked whether the table is in force", err=True)
         return
     end = time.monotonic() + wait
-    while _behind(clients, revision, tell=False) and time.monotonic() < end:
+    while _find_behind(clients, revision, report=False) and time.monotonic() < end:
         time.sleep(0.2)
-    behind = _behind(clients, revision, tell=True)
+    behind = _find_behind(clients, revision, report=True)
     if behind:
-        raise SystemExit(NOT_IN_FORCE)
+        raise SystemExit(EXIT_NOT_IN_FORCE)
     click.echo(f"revision {revision} is in force everywhere")
 
 
-def _behind(clients: list[EntryClient], revision: int, *, tell: bool) -> list[str]:
-    """Return the processes that don't follow `revision` yet."""
+def _find_behind(clients: list[EntryClient], revision: int, *, report: bool) -> list[str]:
+    """Return the processes that don't follow `revision` yet, and print them if `report`."""
     followers: dict[str, int] = {}
     behind: list[str] = []
     for client in clients:
@@ -183,7 +183,7 @@
             name = f"target {member['incarnation']}"
             followers[name] = max(followers.get(name, 0), int(member["table_revision"]))
     behind += [name for name, found in followers.items() if found < revision]
-    if tell:
+    if report:
         for name, found in sorted(followers.items()):
             click.echo(f"{name}: revision {found}")
         for name in behind:
@@ -198,15 +198,15 @@
         err=True,
     )
     _print_changes(conflict.changes, err=True)
-    raise SystemExit(CONFLICT)
+    raise SystemExit(EXIT_CONFLICT)
 
 
 def _print_changes(differences: tuple[RowChange, ...], *, err: bool = False) -> None:
     for change in differences:
-        for mark, row in (("-", change.before), ("+", change.after)):
+        for sign, row in (("-", change.before), ("+", change.after)):
             if row is not None:
-                click.echo(f"{mark} {_cells(row)}", err=err)
+                click.echo(f"{sign} {_format_row(row)}", err=err)
 
 
-def _cells(row: Row) -> str:
+def _format_row(row: Row) -> str:
     return ",".join(str(cell) for cell in msgspec.structs.astuple(row))
--- a/testing/cli/test_commands.py
+++ b/testing/cli/test_commands.py
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture
-def shown(run: Run, tmp_path: Path) -> Path:
+def table_file(run: Run, tmp_path: Path) -> Path:
     file = tmp_path / "table.csv"
     file.write_text(run("table", "show").stdout)
     return file
@@ -61,41 +61,41 @@
     assert run("submit", str(file)).exit_code == 3
 
 
-def test_table_is_edited_and_in_force(run: Run, shown: Path) -> None:
-    text = shown.read_text()
-    shown.write_text(text.replace(f"{SERVICE},hall,1,", f"{SERVICE},hall,7,"))
-    assert f"+ {SERVICE},hall,7,4,8" in run("table", "diff", str(shown)).stdout
-    found = run("table", "apply", str(shown), "--wait", "30")
+def test_table_is_edited_and_in_force(run: Run, table_file: Path) -> None:
+    text = table_file.read_text()
+    table_file.write_text(text.replace(f"{SERVICE},hall,1,", f"{SERVICE},hall,7,"))
+    assert f"+ {SERVICE},hall,7,4,8" in run("table", "diff", str(table_file)).stdout
+    found = run("table", "apply", str(table_file), "--wait", "30")
     assert found.exit_code == 0, found.output
     assert "is in force everywhere" in found.output
     assert run("table", "status").exit_code == 0
-    late = run("table", "apply", str(shown))
-    assert late.exit_code == 3
-    assert "conflict" in late.output
+    outdated = run("table", "apply", str(table_file))
+    assert outdated.exit_code == 3
+    assert "conflict" in outdated.output
 
 
-def test_service_does_not_lose_its_last_row_unasked(run: Run, shown: Path) -> None:
-    shown.write_text(shown.read_text().replace(SERVICE, "other"))
-    found = run("table", "apply", str(shown))
+def test_service_does_not_lose_its_last_row_unasked(run: Run, table_file: Path) -> None:
+    table_file.write_text(table_file.read_text().replace(SERVICE, "other"))
+    found = run("table", "apply", str(table_file))
     assert found.exit_code == 2
     assert f"expected a row for {SERVICE}, or --drop {SERVICE}" in found.output
 
 
-def test_bad_table_is_refused_with_line_and_column(run: Run, shown: Path) -> None:
-    shown.write_text(shown.read_text().replace("hall,", "hall,-"))
+def test_bad_table_is_refused_with_line_and_column(run: Run, table_file: Path) -> None:
+    table_file.write_text(table_file.read_text().replace("hall,", "hall,-"))
     for command in ("check", "diff", "apply"):
-        found = run("table", command, str(shown))
+        found = run("table", command, str(table_file))
         assert found.exit_code == 2
         assert "line 3, column weight" in found.output
 
 
 def test_edit_survives_the_store_going_down_right_after_it(
-    run: Run, system: System, shown: Path
+    run: Run, system: System, table_file: Path
 ) -> None:
-    assert run("table", "apply", str(shown), "--wait", "30").exit_code == 0
+    assert run("table", "apply", str(table_file), "--wait", "30").exit_code == 0
     system.store.down = True
     try:
-        refused = run("table", "apply", str(shown))
+        refused = run("table", "apply", str(table_file))
         assert refused.exit_code == 4
         assert "not applied" in refused.output
         assert run("table", "show").exit_code == 0
--- a/testing/cli/test_explain.py
+++ b/testing/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""`paddleshunt explain` on lines of real runs, and the commands of docs/OPERATIONS.md."""
+"""`paddleshunt explain` on recorded logs, and the commands of docs/OPERATIONS.md."""
 
 import re
 import shlex
@@ -66,12 +66,12 @@
 
 
 def explained(*lines: tuple[str, str]) -> tuple[str, list[str]]:
-    """Return the cause found in lines of a process each, and the events that decide it."""
-    read = [
+    """Return the cause found in (process, text) log lines, and the events that show it."""
+    parsed = [
         read_line(f"time=2026-01-01T00:00:{second:02}.000 {text}", node)
         for second, (node, text) in enumerate(lines)
     ]
-    explanation = explain_request([line for line in read if line is not None], "k")
+    explanation = explain_request([line for line in parsed if line is not None], "k")
     assert explanation is not None
     return explanation.cause, [line.event for line in explanation.deciding]
 
@@ -79,7 +79,7 @@
 ADMITTED = ("e1", "event=job_admitted job=k queue=q")
 STARTED = ("t1", "event=run_ordered job=k.0.0 run=1 answer=started")
 STOPPING = ("t1", "event=run_stopping job=k.0.0 run=1 reason=session_ended")
-OVER = ("t1", "event=session_ended entry=e1 reason=silent runs=1")
+SESSION_ENDED = ("t1", "event=session_ended entry=e1 reason=silent runs=1")
 REFUSED = ("e2", "event=job_answered job=k outcome=refused reason=no_room")
 
 
@@ -97,7 +97,7 @@
 
 def test_an_entry_that_wrote_on_is_not_called_lost() -> None:
     left = ("e1", "event=caller_left job=k after_ms=900")
-    cause, deciding = explained(ADMITTED, STARTED, OVER, STOPPING, left)
+    cause, deciding = explained(ADMITTED, STARTED, SESSION_ENDED, STOPPING, left)
     assert cause == "its caller's connection ended before its answer"
     assert deciding == ["run_stopping", "caller_left"]
 
@@ -110,7 +110,7 @@
 def test_what_its_own_lines_say_of_a_silent_entry_is_shown() -> None:
     still = ("e1", "event=stood_still seconds=0.9 jobs=3")
     end = ("t1", "event=run_ended job=k.0.0 run=1 end=stopped")
-    cause, deciding = explained(ADMITTED, STARTED, OVER, STOPPING, still, end)
+    cause, deciding = explained(ADMITTED, STARTED, SESSION_ENDED, STOPPING, still, end)
     assert cause == "its targets heard no more of its entry, and stopped what it had started"
     assert deciding == ["stood_still", "session_ended", "run_stopping"]
 
@@ -148,8 +148,8 @@
     lost = ("t1", 'event=runner_lost runner=i-1 how=silent runs=1 worked_ms="k.0.0#1:30"')
     given_up = ("e1", f"event=job_given_up job=k reason={reason} index=0 runners=i-1 ended=")
     answered = ("e1", f"event=job_answered job=k outcome=givenup reason={reason}")
-    told, deciding = explained(ADMITTED, STARTED, lost, given_up, answered)
-    assert told == f"{cause}; its tasks may have run"
+    found, deciding = explained(ADMITTED, STARTED, lost, given_up, answered)
+    assert found == f"{cause}; its tasks may have run"
     assert deciding == ["runner_lost", "job_given_up", "job_answered"]
 
 
--- a/testing/cli/test_replay.py
+++ b/testing/cli/test_replay.py
@@ -23,7 +23,7 @@
         pytest.param("adopted", "an accepted configuration never reverts", id="an older table"),
     ],
 )
-def test_spoiled_trace_is_caught(tmp_path: Path, event: str, rule: str) -> None:
+def test_trace_with_a_violation_is_reported(tmp_path: Path, event: str, rule: str) -> None:
     lines = [json.loads(line) for line in TRACES[0].read_text().splitlines()]
     last = next(line for line in reversed(lines) if line["event"] == event)
     changed = {"results": 1} if event == "answered" else {"revision": 0}
--- a/testing/cli/test_status.py
+++ b/testing/cli/test_status.py
@@ -11,13 +11,13 @@
     env = {"PADDLESHUNT_ENTRIES": " ".join(system.entry_urls)}
     found = CliRunner().invoke(main, ["status", "--json"], env=env)
     assert found.exit_code == 0, found.output
-    told = json.loads(found.stdout)
-    (row,) = told["rows"]
+    summary = json.loads(found.stdout)
+    (row,) = summary["rows"]
     assert (row["service"], row["live"], row["max_running"]) == (SERVICE, 2, 4)
     assert (row["share"], row["wanted"], row["behind"]) == (100, 100, 0)
-    assert told["answers"][SERVICE] == {"complete": 3}
+    assert summary["answers"][SERVICE] == {"complete": 3}
     screen = CliRunner().invoke(main, ["status"], env=env).stdout
-    assert f"table revision {told['revision']}" in screen
+    assert f"table revision {summary['revision']}" in screen
     assert "100% of 100%" in screen
 
 
