--- a/packages/paddleshunt-cli/src/paddleshunt_cli/submit.py
+++ b/packages/paddleshunt-cli/src/paddleshunt_cli/submit.py
@@ -67,7 +67,7 @@
         else:
             problem = _checked_answer(reply).get("reason", "refused")
         time.sleep(0.5)
-    raise click.ClickException(f"no submission id after {tries} attempts: {problem}")
+    raise click.ClickException(f"no submission id received: {problem}")
 
 
 def _checked_answer(reply: Reply) -> dict[str, Any]:
