--- a/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/aio/sockets.py
@@ -45,7 +45,7 @@
     """
     split_address(address)
     loop = asyncio.get_running_loop()
-    listener = listening.take(address)
+    listener = listening.take_listener(address)
     return await loop.create_server(factory, sock=listener, backlog=listening.BACKLOG)
 
 
--- a/packages/paddleshunt-node/src/paddleshunt_node/answers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/answers.py
@@ -1,7 +1,7 @@
-"""How outcomes look to callers: status, headers and JSON.
+"""Translation of outcomes to HTTP responses: status, headers and JSON.
 
-Only `not_accepted` has a 5xx status, the one that a balancer may repeat by itself: it is the one
-after which the same request can do no harm.
+Only `not_accepted` has a 5xx status, which a load balancer may retry by itself: it is the only
+outcome after which sending the same request again is always safe.
 """
 
 import json
@@ -35,22 +35,22 @@
 
 
 def respond(body: Answer | Running | Absent) -> Response:
-    """Return the response that tells a caller of its submission."""
+    """Return the HTTP response for the state of a submission."""
     match body:
         case Answer():
-            return _answer(body)
+            return _answer_response(body)
         case Running():
-            return _state(HTTPStatus.ACCEPTED, body.submission, "running")
+            return _state_response(HTTPStatus.ACCEPTED, body.submission, "running")
         case Absent():
-            return _state(HTTPStatus.NOT_FOUND, body.submission, "not_submitted")
+            return _state_response(HTTPStatus.NOT_FOUND, body.submission, "not_submitted")
 
 
-def _state(status: HTTPStatus, submission: str, state: str) -> Response:
+def _state_response(status: HTTPStatus, submission: str, state: str) -> Response:
     body = json.dumps({"id": submission, "state": state})
     return Response(status, body.encode(), {ID_HEADER: submission})
 
 
-def _answer(answer: Answer) -> Response:
+def _answer_response(answer: Answer) -> Response:
     outcome = answer.outcome
     ask_again = retry_advice(outcome, repeatable=answer.repeatable).value
     head = {"id": answer.submission, "outcome": outcome_tag(outcome), "ask_again": ask_again}
@@ -65,6 +65,6 @@
 
 
 def _with_results(head: dict[str, str], results: list[bytes]) -> bytes:
-    """Return the JSON of a whole answer, with the results as the runners gave them."""
+    """Return the JSON of a complete answer; results are inserted as the runners encoded them."""
     start = json.dumps(head).encode().removesuffix(b"}")
     return start + b', "results": [' + b", ".join(results) + b"]}"
--- a/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
@@ -26,14 +26,14 @@
 from paddleshunt_node import answers, logs
 from paddleshunt_node.filters import (
     Call,
+    CheckService,
     Filter,
     Forward,
-    KnownId,
-    KnownService,
-    Mint,
-    Parse,
-    Size,
-    TellId,
+    MintId,
+    ParseBody,
+    ParseId,
+    ReadBody,
+    ReturnId,
     run_chain,
 )
 from paddleshunt_node.node import LocalEffect, Node, new_incarnation
@@ -151,13 +151,19 @@
         logs.event("stopped", host=self._settings.host)
 
     def _routes(self) -> dict[tuple[str, str], Route]:
-        size = Size(self._limits)
-        known = KnownService(self._is_known)
-        mint = Mint(self._mint)
+        size = ReadBody(self._limits)
+        known = CheckService(self._is_known)
+        mint = MintId(self._mint)
         forward = Forward(self._limits, self._forward)
-        parse = Parse(self._limits, with_tasks=True)
-        name: list[Filter] = [size, Parse(self._limits, with_tasks=False), known, mint, TellId()]
-        submit: list[Filter] = [size, KnownId(), parse, known, forward]
+        parse = ParseBody(self._limits, with_tasks=True)
+        name: list[Filter] = [
+            size,
+            ParseBody(self._limits, with_tasks=False),
+            known,
+            mint,
+            ReturnId(),
+        ]
+        submit: list[Filter] = [size, ParseId(), parse, known, forward]
         job: list[Filter] = [size, parse, known, mint, forward]
         return {
             ("POST", "/v1/submissions"): lambda request: run_chain(name, Call(request)),
@@ -196,7 +202,7 @@
 
     def _look_up(self, request: Request) -> Response:
         call = Call(request)
-        refusal = KnownId()(call)
+        refusal = ParseId()(call)
         if refusal is not None:
             return refusal
         number, box = self._waiters.add()
@@ -230,7 +236,7 @@
         if not key or not hmac.compare_digest(request.key.encode(), key.encode()):
             return error(HTTPStatus.FORBIDDEN, "expected the operators' key", at="Paddleshunt-Key")
         call = Call(request)
-        refusal = Size(self._limits)(call)
+        refusal = ReadBody(self._limits)(call)
         if refusal is not None:
             return refusal
         try:
--- a/packages/paddleshunt-node/src/paddleshunt_node/filters.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/filters.py
@@ -1,7 +1,7 @@
-"""The filter chain that a caller's request goes through before the core sees it.
+"""The filter chain that a caller's request passes before it reaches the core.
 
-A filter takes the call and returns None to pass it on, or the response that ends it. Nothing has
-started when a filter refuses, and its response says which field is wrong.
+A filter returns None to pass the call on, or the response that ends it. No work has started when
+a filter refuses a call, and its response names the invalid field.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 @final
 class SubmissionBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a caller sends: the service, and its tasks as JSON texts."""
+    """Body of a caller's request; tasks are kept as raw JSON."""
 
     service: str
     tasks: list[msgspec.Raw] = []
@@ -35,7 +35,7 @@
 @final
 @dataclass(slots=True)
 class Call:
-    """One request on its way through the chain, with what the filters found in it."""
+    """A request in the chain, with the values that filters extracted from it."""
 
     request: Request
     submission: str = ""
@@ -47,20 +47,20 @@
 
 
 def run_chain(filters: list[Filter], call: Call) -> Response:
-    """Return the response of the first filter that gives one."""
-    for each in filters:
-        response = each(call)
+    """Return the response of the first filter that returns one."""
+    for apply_filter in filters:
+        response = apply_filter(call)
         if response is not None:
             return response
     return error(HTTPStatus.INTERNAL_SERVER_ERROR, "no filter answered")
 
 
 @final
-class Size:
-    """Refuses bodies of unknown or too great length, and reads the others."""
+class ReadBody:
+    """Reads the body; refuses one of unknown or excessive length."""
 
     def __init__(self, limits: Limits) -> None:
-        self._most = limits.max_body_bytes
+        self._max_bytes = limits.max_body_bytes
 
     def __call__(self, call: Call) -> Response | None:
         """Read the body."""
@@ -69,16 +69,16 @@
             return error(HTTPStatus.LENGTH_REQUIRED, "expected a Content-Length")
         if length < 0:
             return error(HTTPStatus.BAD_REQUEST, "expected a Content-Length from 0")
-        if length > self._most:
-            problem = f"expected at most {self._most} bytes"
+        if length > self._max_bytes:
+            problem = f"expected at most {self._max_bytes} bytes"
             return error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, problem)
         call.raw = call.request.read(length)
         return None
 
 
 @final
-class Parse:
-    """Refuses what is no submission, naming the field; `with_tasks` asks for tasks."""
+class ParseBody:
+    """Decodes the body; refuses an invalid one, or one without tasks if `with_tasks`."""
 
     def __init__(self, limits: Limits, *, with_tasks: bool) -> None:
         self._limits = limits
@@ -97,39 +97,39 @@
         return self._check(call.body)
 
     def _check(self, body: SubmissionBody) -> Response | None:
-        most = self._limits.max_tasks
+        max_tasks = self._limits.max_tasks
         if self._with_tasks and not body.tasks:
             return error(HTTPStatus.BAD_REQUEST, "expected at least one task", at="tasks")
-        if len(body.tasks) > most:
-            problem = f"expected at most {most} tasks, found {len(body.tasks)}"
+        if len(body.tasks) > max_tasks:
+            problem = f"expected at most {max_tasks} tasks, found {len(body.tasks)}"
             return error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, problem, at="tasks")
-        longest = self._limits.max_deadline_ms
-        if body.deadline_ms is not None and not 1 <= body.deadline_ms <= longest:
-            problem = f"expected 1 to {longest}"
+        max_deadline_ms = self._limits.max_deadline_ms
+        if body.deadline_ms is not None and not 1 <= body.deadline_ms <= max_deadline_ms:
+            problem = f"expected 1 to {max_deadline_ms}"
             return error(HTTPStatus.BAD_REQUEST, problem, at="deadline_ms")
         return None
 
 
 @final
-class KnownService:
-    """Refuses a service that the table doesn't know."""
+class CheckService:
+    """Refuses a service that has no row in the table."""
 
     def __init__(self, is_known: Callable[[str], bool]) -> None:
         self._is_known = is_known
 
     def __call__(self, call: Call) -> Response | None:
-        """Look the service up."""
+        """Check the service."""
         if self._is_known(call.body.service):
             return None
         return error(HTTPStatus.NOT_FOUND, "the table has no such service", at="service")
 
 
 @final
-class KnownId:
-    """Refuses a text that is no submission id, before anything is done with it."""
+class ParseId:
+    """Takes the submission id from the path; refuses an invalid one."""
 
     def __call__(self, call: Call) -> Response | None:
-        """Take the id from the path."""
+        """Parse the id."""
         call.submission = call.request.rest
         parsed = parse_id(call.submission)
         if isinstance(parsed, InvalidId):
@@ -138,14 +138,14 @@
 
 
 @final
-class Mint:
-    """Gets an id for a request that has none."""
+class MintId:
+    """Creates a submission id for a request that has none."""
 
     def __init__(self, mint: Callable[[str], Minted | NotAccepted]) -> None:
         self._mint = mint
 
     def __call__(self, call: Call) -> Response | None:
-        """Take a new id, or answer that no home can be had."""
+        """Create an id, or return a refusal if no target can be the submission's home."""
         minted = self._mint(call.body.service)
         if isinstance(minted, NotAccepted):
             return respond(Answer("", b"", minted, call.body.repeatable))
@@ -154,8 +154,8 @@
 
 
 @final
-class TellId:
-    """Ends the chain by telling the caller its new id."""
+class ReturnId:
+    """Ends the chain with the new submission id."""
 
     def __call__(self, call: Call) -> Response | None:
         """Return the id and where to submit."""
@@ -169,14 +169,14 @@
 
 @final
 class Forward:
-    """Ends the chain by handing the submission to the core and waiting for its answer."""
+    """Ends the chain by passing the submission to the core and waiting for its answer."""
 
     def __init__(self, limits: Limits, forward: Callable[[Submit], Response]) -> None:
         self._limits = limits
         self._forward = forward
 
     def __call__(self, call: Call) -> Response | None:
-        """Submit, and wait."""
+        """Submit and return the response."""
         body = call.body
         tasks = [bytes(task) for task in body.tasks]
         message = Submit(
@@ -191,7 +191,7 @@
 
 
 def digest(service: str, tasks: list[bytes], *, repeatable: bool) -> bytes:
-    """Return what tells one body from another: service, tasks and whether it may be repeated."""
+    """Return a digest of a submission's service, tasks and repeatability."""
     state = xxhash.xxh128(f"{service}\n{repeatable}\n".encode())
     for task in tasks:
         state.update(len(task).to_bytes(4, "big"))
--- a/packages/paddleshunt-node/src/paddleshunt_node/listening.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/listening.py
@@ -1,35 +1,35 @@
-"""Sockets that listen from early in a process's start on, before most of it is imported.
+"""Sockets that listen from early in a process's start, before most modules are imported.
 
-After a loss of power callers and runners are there before the processes are. Who connects to a
-socket that listens waits for the rest of the start; who finds none comes back much later.
+After a power loss, callers and runners connect before the process is ready. On a listening socket
+their connections wait in the backlog; a refused client would retry only much later.
 """
 
 import socket
 from collections.abc import Iterable
 
 BACKLOG = 1024
-"""Connections that may wait to be taken; more than come to one host while a process starts."""
+"""Connections that may wait to be accepted; exceeds what one host gets during a start."""
 
-_early: dict[str, socket.socket] = {}
-"""The sockets that nothing has taken yet, by their address."""
+_early_sockets: dict[str, socket.socket] = {}
+"""Early sockets not yet handed out, by address."""
 
 
 def listen_early(addresses: Iterable[str]) -> None:
-    """Listen at these addresses (host:port) until `take` hands them out; raises `OSError`."""
+    """Listen at these addresses (host:port), for `take_listener` to hand out; raises `OSError`."""
     for address in addresses:
-        _early[address] = _listen(address)
+        _early_sockets[address] = _listen(address)
 
 
-def take(address: str) -> socket.socket:
-    """Return a socket that listens at host:port, an early one if there is; raises `OSError`."""
-    early = _early.pop(address, None)
-    return _listen(address) if early is None else early
+def take_listener(address: str) -> socket.socket:
+    """Return a socket listening at host:port, the early one if it exists; raises `OSError`."""
+    early_socket = _early_sockets.pop(address, None)
+    return _listen(address) if early_socket is None else early_socket
 
 
 def close_early() -> None:
-    """Close what nothing has taken."""
-    while _early:
-        _early.popitem()[1].close()
+    """Close the early sockets that were not handed out."""
+    while _early_sockets:
+        _early_sockets.popitem()[1].close()
 
 
 def _listen(address: str) -> socket.socket:
--- a/packages/paddleshunt-node/src/paddleshunt_node/logs.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, on standard error."""
+"""Log output on standard error, one line of key=value pairs per event."""
 
 import logging
 import sys
@@ -7,20 +7,22 @@
 from pythonjsonlogger.core import BaseJsonFormatter
 
 _LOGGER = "paddleshunt"
-_PLAIN = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-:/~+,")
+_UNQUOTED_CHARS = frozenset(
+    "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-:/~+,"
+)
 
 
 @final
 class KeyValueFormatter(BaseJsonFormatter):
-    """python-json-logger's formatter, with the line written as key=value pairs."""
+    """python-json-logger's formatter, writing key=value pairs instead of JSON."""
 
     def jsonify_log_record(self, log_data: dict[str, Any]) -> str:
-        """Return the record's line."""
-        return " ".join(f"{key}={_quoted(value)}" for key, value in log_data.items())
+        """Return the log line of a record."""
+        return " ".join(f"{key}={_quote(value)}" for key, value in log_data.items())
 
 
 def set_up(level: str) -> None:
-    """Write the system's events of `level` and above to standard error."""
+    """Write log events of `level` and above to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     formatter = KeyValueFormatter(
         "%(asctime)s %(levelname)s %(message)s",
@@ -40,9 +42,9 @@
     logging.getLogger(_LOGGER).info(name, extra=fields)
 
 
-def _quoted(value: object) -> str:
+def _quote(value: object) -> str:
     text = str(value)
-    if text and _PLAIN.issuperset(text):
+    if text and _UNQUOTED_CHARS.issuperset(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
     return f'"{escaped}"'
--- a/packages/paddleshunt-node/src/paddleshunt_node/loop.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/loop.py
@@ -1,7 +1,7 @@
-"""The one thread that owns a process's state: it takes inputs in batches and carries out effects.
+"""The event loop: one thread that owns a process's state and handles inputs in batches.
 
-All other threads post inputs, which are functions of the time that return effects; so the core's
-machines need no locks.
+Other threads post inputs, functions that take the current time and return effects; so the core's
+state machines need no locks.
 """
 
 import queue
@@ -13,20 +13,20 @@
 from paddleshunt_core.effects import Effect
 
 TICK_SECONDS = 0.05
-"""Seconds between two ticks while there is work."""
+"""Interval of ticks while there is work."""
 
 IDLE_TICK_SECONDS = 0.25
-"""Seconds between two ticks of an idle machine."""
+"""Interval of ticks while the machine is idle."""
 
 MAX_BATCH = 256
-"""Inputs taken before effects are carried out."""
+"""Maximum number of inputs handled before their effects are performed."""
 
 Input = Callable[[float], list[Effect]]
 
 
 @final
 class Loop:
-    """Runs inputs on its own thread. `tick` and `flush` are the machine's, `perform` the node's."""
+    """Runs inputs, `tick` and `flush` on its own thread and passes their effects to `perform`."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._thread = Thread(target=self._run, name="loop", daemon=True)
 
     def start(self) -> None:
-        """Begin to run."""
+        """Start the thread."""
         self._thread.start()
 
     def post(self, item: Input) -> None:
@@ -52,7 +52,7 @@
         self._inputs.put(item)
 
     def stop(self) -> None:
-        """Run what was posted, then end."""
+        """Run the inputs posted so far, then end the thread."""
         self.post(self._stop)
         self._thread.join()
 
@@ -64,7 +64,7 @@
         last_tick = 0.0
         while not self._stopped:
             next_tick = last_tick + (IDLE_TICK_SECONDS if self._is_idle() else TICK_SECONDS)
-            batch = self._take(max(0.0, next_tick - time.monotonic()))
+            batch = self._next_batch(max(0.0, next_tick - time.monotonic()))
             now = time.monotonic()
             effects: list[Effect] = []
             for item in batch:
@@ -75,7 +75,7 @@
             effects += self._flush(now)
             self._perform(now, effects)
 
-    def _take(self, timeout: float) -> list[Input]:
+    def _next_batch(self, timeout: float) -> list[Input]:
         try:
             batch = [self._inputs.get(timeout=timeout)]
         except queue.Empty:
--- a/packages/paddleshunt-node/src/paddleshunt_node/main.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/main.py
@@ -11,19 +11,19 @@
 from paddleshunt_platform import settings
 
 from paddleshunt_node import logs
-from paddleshunt_node.lean import leave_out_tls
+from paddleshunt_node.tlsimports import block_tls_imports
 
-BAD_SETTINGS = 2
-"""Exit status when the settings can't be used."""
+EXIT_INVALID_SETTINGS = 2
+"""Exit status for invalid settings."""
 
-CANNOT_START = 1
-"""Exit status when an address can't be listened on."""
+EXIT_CANNOT_START = 1
+"""Exit status if a listening socket can't be opened."""
 
-PATIENCE = 120.0
-"""Seconds that a leaving process gives its requests to finish."""
+LEAVE_TIMEOUT_SECONDS = 120.0
+"""Time that a leaving process waits for its requests to finish."""
 
 LEASED_TABLE = "process"
-"""Table that only the settings of processes for leased jobs have."""
+"""Table that only settings files of processes for leased jobs have."""
 
 _File = TypeVar("_File")
 _FILE = click.Path(path_type=Path, dir_okay=False)
@@ -43,32 +43,32 @@
 @main.command()
 @click.option("--settings", "file", type=_FILE, required=True, help="TOML file.")
 def entry(file: Path) -> None:
-    """Run an entry: the HTTP side for callers and operators."""
-    chosen = _checked(lambda: settings.load_entry(file))
-    leave_out_tls([chosen.platform.store, chosen.platform.hosts])
+    """Run an entry: the HTTP server for callers and operators."""
+    loaded = _load_or_exit(lambda: settings.load_entry(file))
+    block_tls_imports([loaded.platform.store, loaded.platform.hosts])
     from paddleshunt_node.entryprocess import EntryProcess
 
-    logs.set_up(chosen.log.level)
-    _serve(lambda: EntryProcess(chosen))
+    logs.set_up(loaded.log.level)
+    _serve(lambda: EntryProcess(loaded))
 
 
 @main.command()
 @click.option("--settings", "file", type=_FILE, required=True, help="TOML file.")
 def target(file: Path) -> None:
     """Run a target: the process beside one runner."""
-    chosen = _checked(lambda: settings.load_target(file))
-    leave_out_tls([chosen.platform.hosts, chosen.runner.url])
+    loaded = _load_or_exit(lambda: settings.load_target(file))
+    block_tls_imports([loaded.platform.hosts, loaded.runner.url])
     from paddleshunt_node.targetprocess import TargetProcess
 
-    logs.set_up(chosen.log.level)
-    _serve(lambda: TargetProcess(chosen))
+    logs.set_up(loaded.log.level)
+    _serve(lambda: TargetProcess(loaded))
 
 
 @main.command("check-settings")
 @click.argument("file", type=_FILE)
 def check_settings(file: Path) -> None:
-    """Check a settings file without starting anything: of the own interface or of leased jobs."""
-    _checked(lambda: _load_any(file))
+    """Check a settings file, also one for leased jobs, without starting a process."""
+    _load_or_exit(lambda: _load_any(file))
     click.echo(f"{file}: ok")
 
 
@@ -91,24 +91,24 @@
     return settings.load_either(file)
 
 
-def _checked(load: Callable[[], _File]) -> _File:
+def _load_or_exit(load: Callable[[], _File]) -> _File:
     try:
         return load()
     except settings.SettingsError as problem:
         click.echo(f"paddleshuntd: {problem}", err=True)
-        sys.exit(BAD_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
 
 
 def _serve(make: Callable[[], _Process]) -> None:
-    """Run until SIGTERM or SIGINT, then leave."""
-    told = Event()
+    """Run a process until SIGTERM or SIGINT, then let it leave."""
+    stop_requested = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: told.set())
+        signal.signal(number, lambda *_: stop_requested.set())
     try:
         process = make()
         process.start()
     except OSError as problem:
         click.echo(f"paddleshuntd: can't start: {problem}", err=True)
-        sys.exit(CANNOT_START)
-    told.wait()
-    process.leave(PATIENCE)
+        sys.exit(EXIT_CANNOT_START)
+    stop_requested.wait()
+    process.leave(LEAVE_TIMEOUT_SECONDS)
--- a/packages/paddleshunt-node/src/paddleshunt_node/metrics.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process, rendered for Prometheus."""
+"""Metrics of a process in the Prometheus text format."""
 
 from collections.abc import Callable
 from typing import final
@@ -9,7 +9,7 @@
 
 @final
 class Metrics:
-    """Counters of messages and outcomes, and gauges that are read when the page is asked for."""
+    """Counters of messages and outcomes, and gauges that are read on each scrape."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -25,7 +25,7 @@
         self._bytes.add({"kind": kind, "way": "out"}, size)
 
     def received(self, kind: str, size: int) -> None:
-        """Count a message that came in."""
+        """Count a received message."""
         self._messages.inc({"kind": kind, "way": "in"})
         self._bytes.add({"kind": kind, "way": "in"}, size)
 
@@ -34,16 +34,16 @@
         self._outcomes.inc({"outcome": outcome})
 
     def event(self, name: str) -> None:
-        """Count an event."""
+        """Count a log event."""
         self._events.inc({"event": name})
 
     def gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
-        """Add a gauge whose value is read for each page."""
+        """Add a gauge whose value `read` returns on each scrape."""
         gauge = Gauge(name, doc, registry=self._registry)
         self._gauges.append((gauge, read))
 
     def page(self) -> bytes:
-        """Return the page of all metrics."""
+        """Return all metrics as text."""
         for gauge, read in self._gauges:
             gauge.set({}, read())
         page: bytes = text.TextFormatter().marshall(self._registry)
--- a/testing/node/test_logs.py
+++ b/testing/node/test_logs.py
@@ -15,7 +15,7 @@
     )
 
 
-def test_level_is_kept(capsys: pytest.CaptureFixture[str]) -> None:
+def test_events_below_the_level_are_not_written(capsys: pytest.CaptureFixture[str]) -> None:
     logs.set_up("error")
     logs.event("quiet")
     assert capsys.readouterr().err == ""
--- a/testing/node/test_main.py
+++ b/testing/node/test_main.py
@@ -34,18 +34,18 @@
 
 
 @pytest.mark.parametrize(
-    ("resend_ms", "status", "told"),
+    ("resend_ms", "status", "output"),
     [(1300, 0, "ok"), (100, 2, "bounds: "), ('"soon"', 2, "bounds.resend_ms: ")],
-    ids=["sound", "no time for leases", "mistyped"],
+    ids=["valid", "no time for leases", "mistyped"],
 )
 def test_check_settings_of_leased_jobs(
-    resend_ms: object, status: int, told: str, tmp_path: Path
+    resend_ms: object, status: int, output: str, tmp_path: Path
 ) -> None:
     file = tmp_path / "leased.toml"
     file.write_text(LEASED.format(resend_ms=resend_ms))
     found = CliRunner().invoke(main, ["check-settings", str(file)])
     assert found.exit_code == status
-    assert told in found.output
+    assert output in found.output
 
 
 def test_bad_settings_exit_with_2(tmp_path: Path) -> None:
@@ -57,7 +57,7 @@
         assert f"{file}: " in found.output
 
 
-def test_address_in_use_is_told(tmp_path: Path) -> None:
+def test_address_in_use_is_reported(tmp_path: Path) -> None:
     text = (SETTINGS / "hall-results.toml").read_text()
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
