--- a/packages/paddleshunt-node/src/paddleshunt_node/demo.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/demo.py
@@ -1,6 +1,6 @@
-"""The demo: two sites, two entries and four targets in one process, over real loopback sockets.
+"""A demo with two sites, two entries and four targets in one process, over loopback sockets.
 
-For trying out only. The store and the host list are the stand-ins; the runners are the examples.
+Not for production: the store and the host list are stand-ins, and the runners are the examples.
 """
 
 import base64
@@ -32,10 +32,10 @@
 SERVICES = ("results", "rammi")
 SLOTS = 4
 FRAMES = 12
-TILE_WIDTH = 96
-PATIENCE = 10.0
-START_TRIES = 100
-START_PAUSE = 0.1
+STRIP_FRAME_WIDTH = 96
+LEAVE_TIMEOUT_SECONDS = 10.0
+MAX_START_POLLS = 100
+START_POLL_SECONDS = 0.1
 
 _CREATED = 201
 
@@ -43,7 +43,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DemoLine:
-    """What the demo prints of one job: times in milliseconds."""
+    """The printed result of one job; times are in milliseconds."""
 
     service: str
     outcome: str
@@ -55,11 +55,11 @@
 
 @final
 class DemoError(Exception):
-    """The demo could not be carried out."""
+    """An example is missing, or the targets didn't start in time."""
 
 
 def run_demo(out: Path, examples: Path) -> int:
-    """Run one job of each example, print what came of it, and return the exit status."""
+    """Run one job of each example, print the results, and return the exit status."""
     modules = {name: _load(examples / name / "runner.py") for name in SERVICES}
     with ExitStack() as stack:
         entry = _start_all(stack, modules)
@@ -67,14 +67,14 @@
         lines = [_run_results(entry, modules["results"]), _run_rammi(entry, modules["rammi"], out)]
     for line in lines:
         print(msgspec.json.encode(line).decode())
-    good = all(line.outcome == "complete" and line.right for line in lines)
-    return 0 if good else 1
+    all_right = all(line.outcome == "complete" and line.right for line in lines)
+    return 0 if all_right else 1
 
 
 def _load(file: Path) -> ModuleType:
     spec = importlib.util.spec_from_file_location(f"example_{file.parent.name}", file)
     if spec is None or spec.loader is None:
-        raise DemoError(f"{file}: no such example")
+        raise DemoError(f"{file}: expected the Python module of an example")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     return module
@@ -103,8 +103,8 @@
 
 
 def _leave_all(processes: list[EntryProcess | TargetProcess]) -> None:
-    """Let all processes leave at once."""
-    threads = [Thread(target=process.leave, args=(PATIENCE,)) for process in processes]
+    """Stop all processes in parallel."""
+    threads = [Thread(target=process.leave, args=(LEAVE_TIMEOUT_SECONDS,)) for process in processes]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -146,14 +146,14 @@
 
 
 def _wait_ready(entry: str) -> None:
-    """Wait until every service has a home and every row its shares."""
-    for _ in range(START_TRIES):
+    """Wait until the entry knows the slots of every target."""
+    for _ in range(MAX_START_POLLS):
         dump = _call("GET", f"{entry}/v1/dump")
         ready = [m for m in dump["members"] if m["load"][0] > 0]
         if len(ready) == len(SITES) * len(SERVICES):
             return
-        time.sleep(START_PAUSE)
-    raise DemoError("the targets did not come up")
+        time.sleep(START_POLL_SECONDS)
+    raise DemoError("the entry doesn't know all targets yet")
 
 
 def _call(method: str, url: str, body: object = None) -> Any:
@@ -170,8 +170,8 @@
     return answer, (time.perf_counter() - start) * 1000
 
 
-def _longest(run: Any, tasks: list[dict[str, Any]]) -> float:
-    """Return the longest task's time in milliseconds when run alone: the job's ideal."""
+def _longest_task_ms(run: Any, tasks: list[dict[str, Any]]) -> float:
+    """Return the time of the longest task run alone, in milliseconds: the job's ideal time."""
     longest = 0.0
     for task in tasks:
         start = time.perf_counter()
@@ -181,21 +181,21 @@
 
 
 def _run_results(entry: str, module: ModuleType) -> DemoLine:
-    tasks = _tallies()
-    wanted = [module.ward_standings(task) for task in tasks]
-    answer, spent = _submit(entry, "results", tasks)
+    tasks = _make_tallies()
+    expected = [module.ward_standings(task) for task in tasks]
+    answer, elapsed_ms = _submit(entry, "results", tasks)
     results = answer.get("results", [])
     for ward in results:
         ranked = ", ".join(f"{s['candidate']} {s['votes']}" for s in ward["standings"])
         print(f"{ward['ward']}: {ranked}")
-    ideal = _longest(module.ward_standings, tasks)
-    right = results == wanted
+    ideal_ms = _longest_task_ms(module.ward_standings, tasks)
+    right = results == expected
     return DemoLine(
-        "results", answer["outcome"], right, len(tasks), round(spent, 1), round(ideal, 1)
+        "results", answer["outcome"], right, len(tasks), round(elapsed_ms, 1), round(ideal_ms, 1)
     )
 
 
-def _tallies() -> list[dict[str, Any]]:
+def _make_tallies() -> list[dict[str, Any]]:
     """Return made-up tallies of six wards with five booths each."""
     candidates = ("Aroha Ngata", "Ben Carter", "Mei Lin")
     return [
@@ -216,29 +216,31 @@
 
 
 def _run_rammi(entry: str, module: ModuleType, out: Path) -> DemoLine:
-    frames = _frames(module)
-    strip = {"kind": "strip", "frames": frames, "width": TILE_WIDTH}
+    frames = _make_frames(module)
+    strip = {"kind": "strip", "frames": frames, "width": STRIP_FRAME_WIDTH}
     posters = [{"kind": "poster", "frame": frame, "width": 320} for frame in frames[::4]]
     tasks = [strip, *posters]
-    answer, spent = _submit(entry, "rammi", tasks)
-    wanted = [module.make_image(task) for task in tasks]
+    answer, elapsed_ms = _submit(entry, "rammi", tasks)
+    expected = [module.make_image(task) for task in tasks]
     results = answer.get("results", [])
-    right = results == wanted
+    right = results == expected
     if right:
         out.mkdir(parents=True, exist_ok=True)
         file = out / "strip.png"
         file.write_bytes(base64.b64decode(results[0]["png"]))
         print(f"strip of {FRAMES} frames: {file}")
-    ideal = _longest(module.make_image, tasks)
-    return DemoLine("rammi", answer["outcome"], right, len(tasks), round(spent, 1), round(ideal, 1))
+    ideal_ms = _longest_task_ms(module.make_image, tasks)
+    return DemoLine(
+        "rammi", answer["outcome"], right, len(tasks), round(elapsed_ms, 1), round(ideal_ms, 1)
+    )
 
 
-def _frames(module: ModuleType) -> list[str]:
-    """Return frames of a bright square that moves over a slowly changing ground."""
+def _make_frames(module: ModuleType) -> list[str]:
+    """Return frames of a bright square that moves over a slowly changing background."""
     frames: list[str] = []
     for number in range(FRAMES):
-        ground = (20 * number, 90, 255 - 20 * number)
-        image = module.Image.new("RGB", (640, 360), ground)
+        background = (20 * number, 90, 255 - 20 * number)
+        image = module.Image.new("RGB", (640, 360), background)
         image.paste((250, 240, 90), (40 * number, 120, 40 * number + 120, 240))
         frames.append(module.encode_png(image))
     return frames
--- a/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
@@ -1,4 +1,4 @@
-"""The entry role as a process: HTTP for callers and operators around the core's `Entry`."""
+"""The entry process: HTTP for callers and operators around the core's `Entry`."""
 
 import hmac
 import itertools
@@ -37,20 +37,20 @@
     run_chain,
 )
 from paddleshunt_node.node import LocalEffect, Node, new_incarnation
-from paddleshunt_node.operatorpages import ASK_SECONDS, OperatorPages
+from paddleshunt_node.operatorpages import LOOP_TIMEOUT_SECONDS, OperatorPages
 from paddleshunt_node.platformthreads import HostsThread, StoreThreads
 from paddleshunt_node.web import Request, Response, Route, WebServer, error
 
 SPARE_THREADS = 8
-"""Web threads beyond those that may wait for answers, for everything that is quick."""
+"""Web threads beyond those that may wait for answers, for short requests."""
 
-REPLY_GRACE = 5.0
-"""Seconds past a submission's deadline after which a web thread gives up on the core."""
+REPLY_GRACE_SECONDS = 5.0
+"""Time past a submission's deadline that a web thread waits for the core's answer."""
 
 
 @dataclass(slots=True)
 class _EntryMachine:
-    """Lets the node drive the core's entry."""
+    """Adapts the core's entry to the node's `Machine`."""
 
     entry: Entry
 
@@ -72,34 +72,34 @@
 
 
 @dataclass(slots=True)
-class _Waiters:
-    """Web threads that wait for a reply of the core, by caller number."""
+class _PendingReplies:
+    """Web threads that wait for a reply from the core, by caller number."""
 
     lock: Lock = field(default_factory=Lock)
     numbers: "itertools.count[int]" = field(default_factory=lambda: itertools.count(1))
-    boxes: dict[int, "queue.SimpleQueue[Response]"] = field(default_factory=dict)
+    reply_queues: dict[int, "queue.SimpleQueue[Response]"] = field(default_factory=dict)
 
     def add(self) -> tuple[int, "queue.SimpleQueue[Response]"]:
         with self.lock:
             number = next(self.numbers)
-            box: queue.SimpleQueue[Response] = queue.SimpleQueue()
-            self.boxes[number] = box
-            return number, box
+            reply_queue: queue.SimpleQueue[Response] = queue.SimpleQueue()
+            self.reply_queues[number] = reply_queue
+            return number, reply_queue
 
     def answer(self, number: int, response: Response) -> None:
         with self.lock:
-            box = self.boxes.pop(number, None)
-        if box is not None:
-            box.put(response)
+            reply_queue = self.reply_queues.pop(number, None)
+        if reply_queue is not None:
+            reply_queue.put(response)
 
     def drop(self, number: int) -> None:
         with self.lock:
-            self.boxes.pop(number, None)
+            self.reply_queues.pop(number, None)
 
 
 @final
 class EntryProcess:
-    """One entry: start it, then stop it when told to leave."""
+    """One entry, from `start` to `leave`."""
 
     def __init__(self, settings: EntryFile) -> None:
         rng = random.Random()
@@ -111,8 +111,8 @@
         self._node = Node(
             me, settings.listen.peers, _EntryMachine(self._entry), self._perform_local
         )
-        self._waiters = _Waiters()
-        self._greeted = False
+        self._pending = _PendingReplies()
+        self._state_requested = False
         self._pages = OperatorPages(self._node, self._describe)
         store_url = settings.platform.store or ""
         self._store = StoreThreads(EtcdStore(store_url), self._on_table, self._on_allotment)
@@ -121,10 +121,10 @@
         self._web = WebServer(settings.listen.http, self._routes(), threads)
         metrics = self._node.metrics
         metrics.gauge("paddleshunt_calls", "Callers' calls that wait.", self._count_calls)
-        metrics.gauge("paddleshunt_table_revision", "Table in force.", self._revision)
+        metrics.gauge("paddleshunt_table_revision", "Table in force.", self._table_revision)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._node.start()
         self._hosts.start()
         self._store.start()
@@ -138,11 +138,11 @@
         )
 
     def leave(self, patience: float) -> None:
-        """Turn `/healthz` to 503, finish waiting calls for up to `patience` seconds, and end."""
+        """Answer `/healthz` with 503, wait up to `patience` seconds for open calls, and end."""
         self._entry.leaving = True
         logs.event("leaving", host=self._settings.host)
         end = time.monotonic() + patience
-        while self._waiters.boxes and time.monotonic() < end:
+        while self._pending.reply_queues and time.monotonic() < end:
             time.sleep(0.02)
         self._web.stop()
         self._hosts.stop()
@@ -151,78 +151,80 @@
         logs.event("stopped", host=self._settings.host)
 
     def _routes(self) -> dict[tuple[str, str], Route]:
-        size = ReadBody(self._limits)
-        known = CheckService(self._is_known)
-        mint = MintId(self._mint)
+        read_body = ReadBody(self._limits)
+        check_service = CheckService(self._is_known)
+        mint_id = MintId(self._mint)
         forward = Forward(self._limits, self._forward)
-        parse = ParseBody(self._limits, with_tasks=True)
-        name: list[Filter] = [
-            size,
+        parse_body = ParseBody(self._limits, with_tasks=True)
+        create: list[Filter] = [
+            read_body,
             ParseBody(self._limits, with_tasks=False),
-            known,
-            mint,
+            check_service,
+            mint_id,
             ReturnId(),
         ]
-        submit: list[Filter] = [size, ParseId(), parse, known, forward]
-        job: list[Filter] = [size, parse, known, mint, forward]
+        submit: list[Filter] = [read_body, ParseId(), parse_body, check_service, forward]
+        job: list[Filter] = [read_body, parse_body, check_service, mint_id, forward]
         return {
-            ("POST", "/v1/submissions"): lambda request: run_chain(name, Call(request)),
+            ("POST", "/v1/submissions"): lambda request: run_chain(create, Call(request)),
             ("PUT", "/v1/submissions/"): lambda request: run_chain(submit, Call(request)),
             ("POST", "/v1/jobs"): lambda request: run_chain(job, Call(request)),
             ("GET", "/v1/submissions/"): self._look_up,
             ("GET", "/healthz"): self._health,
             **self._pages.routes(),
-            ("PUT", "/v1/table"): self._take_table,
+            ("PUT", "/v1/table"): self._put_table,
         }
 
-    # Callers' requests, on web threads.
+    # Callers' requests; run on web threads.
 
     def _is_known(self, service: str) -> bool:
         return bool(self._entry.table.rows_of(service))
 
     def _mint(self, service: str) -> Minted | NotAccepted:
-        box: queue.SimpleQueue[Minted | NotAccepted] = queue.SimpleQueue()
+        reply_queue: queue.SimpleQueue[Minted | NotAccepted] = queue.SimpleQueue()
 
-        def ask(now: float) -> list[Effect]:
-            box.put(self._entry.mint(now, service))
+        def mint(now: float) -> list[Effect]:
+            reply_queue.put(self._entry.mint(now, service))
             return []
 
-        self._node.post(ask)
-        return box.get(timeout=ASK_SECONDS)
+        self._node.post(mint)
+        return reply_queue.get(timeout=LOOP_TIMEOUT_SECONDS)
 
     def _forward(self, message: Submit) -> Response:
-        if len(self._waiters.boxes) >= self._limits.max_waiting:
+        if len(self._pending.reply_queues) >= self._limits.max_waiting:
             refusal = NotAccepted("too many callers wait at this entry", 1000)
-            return self._answered(
+            return self._log_and_respond(
                 Answer(message.submission, message.digest, refusal, message.repeatable)
             )
-        number, box = self._waiters.add()
+        number, reply_queue = self._pending.add()
         self._node.post(lambda now: self._entry.submit(now, number, message))
-        return self._wait(number, box, message.deadline_ms / 1000 + REPLY_GRACE)
+        return self._wait(number, reply_queue, message.deadline_ms / 1000 + REPLY_GRACE_SECONDS)
 
     def _look_up(self, request: Request) -> Response:
         call = Call(request)
         refusal = ParseId()(call)
         if refusal is not None:
             return refusal
-        number, box = self._waiters.add()
+        number, reply_queue = self._pending.add()
         self._node.post(lambda now: self._entry.look_up(now, number, call.submission))
-        return self._wait(number, box, ASK_SECONDS)
+        return self._wait(number, reply_queue, LOOP_TIMEOUT_SECONDS)
 
-    def _wait(self, number: int, box: "queue.SimpleQueue[Response]", seconds: float) -> Response:
+    def _wait(
+        self, number: int, reply_queue: "queue.SimpleQueue[Response]", seconds: float
+    ) -> Response:
         try:
-            return box.get(timeout=seconds)
+            return reply_queue.get(timeout=seconds)
         except queue.Empty:
-            self._waiters.drop(number)
+            self._pending.drop(number)
             return error(HTTPStatus.GATEWAY_TIMEOUT, "no answer; ask again with the same id")
 
-    def _answered(self, answer: Answer) -> Response:
+    def _log_and_respond(self, answer: Answer) -> Response:
         kind = outcome_tag(answer.outcome)
         self._node.metrics.answered(kind)
         logs.event("replied", submission=answer.submission, outcome=kind)
         return answers.respond(answer)
 
-    # Operators' requests.
+    # Operators' requests; run on web threads.
 
     def _health(self, _request: Request) -> Response:
         if self._entry.leaving:
@@ -231,7 +233,7 @@
             return error(HTTPStatus.SERVICE_UNAVAILABLE, "no table yet")
         return Response(HTTPStatus.OK, b'{"status": "ok"}')
 
-    def _take_table(self, request: Request) -> Response:
+    def _put_table(self, request: Request) -> Response:
         key = self._settings.operators.key
         if not key or not hmac.compare_digest(request.key.encode(), key.encode()):
             return error(HTTPStatus.FORBIDDEN, "expected the operators' key", at="Paddleshunt-Key")
@@ -249,7 +251,7 @@
     def _describe(self, now: float) -> dict[str, object]:
         return self._entry.describe(now) | {"store_reachable": self._store.reachable}
 
-    # The platform's news, on its threads.
+    # Updates from the platform; run on its threads.
 
     def _on_table(self, document: TableDocument | None) -> None:
         self._node.post(lambda now: self._entry.table_from_store(now, document))
@@ -258,23 +260,23 @@
         self._node.post(lambda now: self._entry.allotment(now, allotment))
 
     def _on_hosts(self, hosts: list[Host]) -> None:
-        self._node.post(lambda now: self._take_hosts(now, hosts))
+        self._node.post(lambda now: self._update_hosts(now, hosts))
 
-    def _take_hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
+    def _update_hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
         effects = self._entry.hosts(now, hosts)
-        if not self._greeted:
-            self._greeted = True
+        if not self._state_requested:
+            self._state_requested = True
             effects += self._entry.greet(now)
         return effects
 
-    # The core's effects, on the loop's thread.
+    # The core's effects; run on the loop's thread.
 
     def _perform_local(self, effect: LocalEffect) -> None:
         match effect:
             case Reply(caller, Answer() as answer):
-                self._waiters.answer(caller, self._answered(answer))
+                self._pending.answer(caller, self._log_and_respond(answer))
             case Reply(caller, body):
-                self._waiters.answer(caller, answers.respond(body))
+                self._pending.answer(caller, answers.respond(body))
             case WriteAllotment(allotment):
                 self._store.write(allotment)
             case _:
@@ -283,5 +285,5 @@
     def _count_calls(self) -> float:
         return float(len(self._entry.calls))
 
-    def _revision(self) -> float:
+    def _table_revision(self) -> float:
         return float(self._entry.table.revision)
--- a/packages/paddleshunt-node/src/paddleshunt_node/node.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/node.py
@@ -1,4 +1,4 @@
-"""What both roles share: carrying out effects, and passing messages to and from peers."""
+"""The part that both roles share: performing effects and exchanging messages with peers."""
 
 import random
 import time
@@ -25,38 +25,38 @@
 
 
 class Machine(Protocol):
-    """A role's state, as the node drives it."""
+    """A role's state machine, driven by the node."""
 
     def handle(self, now: float, envelope: Envelope) -> list[Effect]:
-        """Take a message from a peer."""
+        """Handle a message from a peer."""
 
     def undelivered(self, now: float, to: Incarnation, body: Body) -> list[Effect]:
-        """Take back a message that provably never left this process."""
+        """Handle the return of a message that provably never left this process."""
 
     def tick(self, now: float) -> list[Effect]:
-        """Act on the passing of time."""
+        """Check timeouts."""
 
     def flush(self, now: float) -> list[Effect]:
-        """Return the messages that the inputs since the last flush call for."""
+        """Return the messages that are due after the inputs since the last flush."""
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is under way that needs the passing of time to be looked at often."""
+        """Whether timeouts need to be checked only rarely."""
 
 
 LocalEffect = Reply | Start | WriteAllotment
 
 
 def new_incarnation(host: str, rng: random.Random) -> Incarnation:
-    """Return the name of this run of the process on `host`."""
+    """Return a new incarnation, which identifies this run of the process on `host`."""
     return Incarnation(host, boot_stamp(int(time.time() * 1000), rng))
 
 
 @final
 class Node:
-    """Runs a machine: its loop, its sockets and its metrics.
+    """Runs a machine with its loop, sockets and metrics.
 
-    `perform_local` carries out the effects that only the role knows how to.
+    `perform_local` performs the effects that are specific to the role.
     """
 
     def __init__(
@@ -72,11 +72,11 @@
         self._machine = machine
         self._perform_local = perform_local
         self._loop = Loop(machine.tick, machine.flush, self._perform, self._is_idle)
-        self._peers = Peers(address, self._received)
+        self._peers = Peers(address, self._handle_batch)
         self._next_idle_check = 0.0
 
     def start(self) -> None:
-        """Begin to take messages and run the machine."""
+        """Start the loop and receive messages."""
         self._loop.start()
         self._peers.start()
 
@@ -92,7 +92,7 @@
     def _is_idle(self) -> bool:
         return self._machine.idle
 
-    def _received(self, batch: list[bytes]) -> None:
+    def _handle_batch(self, batch: list[bytes]) -> None:
         for raw in batch:
             envelope = decode(raw)
             if isinstance(envelope, BadMessage):
--- a/packages/paddleshunt-node/src/paddleshunt_node/operatorpages.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/operatorpages.py
@@ -1,4 +1,4 @@
-"""The pages that operators ask of entries and targets alike: metrics and dump."""
+"""The operators' HTTP pages of entries and targets: metrics and state dump."""
 
 import queue
 from collections.abc import Callable
@@ -11,8 +11,8 @@
 from paddleshunt_node.node import Node
 from paddleshunt_node.web import Request, Response, Route
 
-ASK_SECONDS = 5.0
-"""Seconds that a web thread waits for the loop."""
+LOOP_TIMEOUT_SECONDS = 5.0
+"""Time that a web thread waits for the loop."""
 
 
 @final
@@ -24,7 +24,7 @@
         self._describe = describe
 
     def routes(self) -> dict[tuple[str, str], Route]:
-        """Return the pages by method and path."""
+        """Return the routes of the pages."""
         return {("GET", "/metrics"): self._metrics, ("GET", "/v1/dump"): self._dump}
 
     def _metrics(self, _request: Request) -> Response:
@@ -32,11 +32,11 @@
         return Response(HTTPStatus.OK, page, content_type="text/plain; version=0.0.4")
 
     def _dump(self, _request: Request) -> Response:
-        box: queue.SimpleQueue[bytes] = queue.SimpleQueue()
+        result: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
-        def ask(now: float) -> list[Effect]:
-            box.put(msgspec.json.encode(self._describe(now)))
+        def describe(now: float) -> list[Effect]:
+            result.put(msgspec.json.encode(self._describe(now)))
             return []
 
-        self._node.post(ask)
-        return Response(HTTPStatus.OK, box.get(timeout=ASK_SECONDS))
+        self._node.post(describe)
+        return Response(HTTPStatus.OK, result.get(timeout=LOOP_TIMEOUT_SECONDS))
--- a/packages/paddleshunt-node/src/paddleshunt_node/peers.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/peers.py
@@ -1,8 +1,8 @@
-"""Messages between the system's processes: one-way pynng sockets, read by a blocking thread.
+"""Messages between processes over one-way pynng sockets, read by a blocking thread.
 
-A process listens on one pull socket and has one push socket for each peer it talks to. A blocking
-thread that drains what has come costs less processor time a message than pynng's asyncio calls;
-docs/design/peer-sockets.md has the figures. Nothing is sent again here.
+A process listens on one pull socket and has one push socket per peer. A blocking thread that reads
+in batches uses less CPU per message than pynng's asyncio calls (docs/design/peer-sockets.md).
+Messages are not resent here.
 """
 
 import time
@@ -14,18 +14,18 @@
 
 from paddleshunt_node import logs
 
-SEND_BUFFER = 128
-"""Messages a push socket holds for a peer that is slow or not connected."""
+BUFFERED_MESSAGES = 128
+"""Messages that a socket buffers; a push socket, for a peer that is slow or not connected."""
 
-MAX_MESSAGE = 64 << 20
-"""Bytes of the largest message that is taken."""
+MAX_MESSAGE_BYTES = 64 << 20
+"""Size of the largest message that is accepted."""
 
 IDLE_SECONDS = 120.0
-"""Seconds after which a socket that sent nothing is closed."""
+"""Time after which a socket that sent nothing is closed."""
 
 _RECONNECT_MS = 100
 _RECONNECT_MAX_MS = 2000
-_DRAIN = 64
+_MAX_BATCH = 64
 
 
 @final
@@ -35,9 +35,11 @@
     def __init__(self, address: str, receive: Callable[[list[bytes]], None]) -> None:
         self._receive = receive
         self._sockets: dict[str, pynng.Push0] = {}
-        self._used: dict[str, float] = {}
+        self._last_sent: dict[str, float] = {}
         self._lock = Lock()
-        self._pull = pynng.Pull0(recv_buffer_size=SEND_BUFFER, recv_max_size=MAX_MESSAGE)
+        self._pull = pynng.Pull0(
+            recv_buffer_size=BUFFERED_MESSAGES, recv_max_size=MAX_MESSAGE_BYTES
+        )
         try:
             self._pull.listen(f"tcp://{address}")
         except pynng.exceptions.NNGException as error:
@@ -46,15 +48,15 @@
         self._thread = Thread(target=self._run, name="peers", daemon=True)
 
     def start(self) -> None:
-        """Begin to take messages."""
+        """Start receiving messages."""
         self._thread.start()
 
     def send(self, address: str, raw: bytes) -> bool:
-        """Send to a peer; return False if the message provably stays here."""
+        """Send to a peer; return False if the message provably wasn't sent."""
         socket = self._socket(address)
         if socket is None:
             return False
-        self._used[address] = time.monotonic()
+        self._last_sent[address] = time.monotonic()
         try:
             socket.send(raw, block=False)
         except pynng.exceptions.NNGException:
@@ -62,11 +64,11 @@
         return True
 
     def close_idle(self) -> None:
-        """Close sockets that have sent nothing for a while."""
+        """Close sockets that have sent nothing for `IDLE_SECONDS`."""
         limit = time.monotonic() - IDLE_SECONDS
         with self._lock:
-            for address in [a for a, used in self._used.items() if used < limit]:
-                del self._used[address]
+            for address in [a for a, sent in self._last_sent.items() if sent < limit]:
+                del self._last_sent[address]
                 self._sockets.pop(address).close()
 
     def close(self) -> None:
@@ -98,7 +100,7 @@
             self._receive(batch)
 
     def _drain(self, batch: list[bytes]) -> None:
-        while len(batch) < _DRAIN:
+        while len(batch) < _MAX_BATCH:
             try:
                 batch.append(self._pull.recv(block=False))
             except pynng.exceptions.NNGException:
@@ -107,7 +109,7 @@
 
 def _dial(address: str) -> pynng.Push0 | None:
     socket = pynng.Push0(
-        send_buffer_size=SEND_BUFFER,
+        send_buffer_size=BUFFERED_MESSAGES,
         reconnect_time_min=_RECONNECT_MS,
         reconnect_time_max=_RECONNECT_MAX_MS,
     )
--- a/packages/paddleshunt-node/src/paddleshunt_node/platformthreads.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/platformthreads.py
@@ -1,4 +1,4 @@
-"""Threads that follow the platform: its store and its list of hosts."""
+"""Threads that watch the platform's store and poll its list of hosts."""
 
 import queue
 from collections.abc import Callable
@@ -25,13 +25,13 @@
 from paddleshunt_node import logs
 
 HOSTS_SECONDS = 2.0
-"""Least seconds between two readings of the host list."""
+"""Minimum interval between reads of the host list, in seconds."""
 
 HOSTS_PER_SECOND = 20
-"""Hosts that are read a second on average; a long list is read less often."""
+"""Maximum average rate of hosts read per second; a long list is read less often."""
 
 RETRY_SECONDS = 1.0
-"""Seconds to wait after the store could not be read."""
+"""Delay before reading the store again after a failure."""
 
 
 @final
@@ -53,38 +53,38 @@
         self.reachable = False
 
     def start(self) -> None:
-        """Begin to follow the store."""
-        Thread(target=self._follow, name="store", daemon=True).start()
+        """Start watching the store."""
+        Thread(target=self._watch, name="store", daemon=True).start()
         Thread(target=self._write, name="store-writes", daemon=True).start()
 
     def write(self, allotment: Allotment) -> None:
-        """Write an allotment soon; the watch brings it back if it took effect."""
+        """Queue an allotment for writing; the watch reports it if the write succeeds."""
         self._writes.put(allotment)
 
     def stop(self) -> None:
-        """Stop at the next chance; the threads don't hold up the process's end."""
+        """Ask the threads to stop, without waiting for them."""
         self._stopped.set()
 
-    def _follow(self) -> None:
+    def _watch(self) -> None:
         while not self._stopped.is_set():
             listing = self._store.list(KEY_PREFIX)
             if not isinstance(listing, Listing):
-                self._note_reachable(False, listing.reason)
+                self._set_reachable(False, listing.reason)
                 self._stopped.wait(RETRY_SECONDS)
                 continue
-            self._note_reachable(True, "")
-            self._take_all(listing)
+            self._set_reachable(True, "")
+            self._handle_listing(listing)
             for item in self._store.watch(KEY_PREFIX, listing.revision):
                 if isinstance(item, Value):
-                    self._take(item)
+                    self._handle_value(item)
 
-    def _take_all(self, listing: Listing) -> None:
+    def _handle_listing(self, listing: Listing) -> None:
         for value in listing.values:
-            self._take(value)
+            self._handle_value(value)
         if all(value.key != TABLE_KEY for value in listing.values):
             self._on_table(None)
 
-    def _take(self, value: Value) -> None:
+    def _handle_value(self, value: Value) -> None:
         self._versions[value.key] = value.version
         try:
             if value.key == TABLE_KEY:
@@ -99,8 +99,8 @@
             allotment = self._writes.get()
             key = allotment_key(allotment.service, allotment.site)
             version = self._versions.get(key, ABSENT)
-            done = self._store.compare_and_swap(key, msgspec.json.encode(allotment), version)
-            outcome = "written" if isinstance(done, Written) else repr(done)[:200]
+            result = self._store.compare_and_swap(key, msgspec.json.encode(allotment), version)
+            outcome = "written" if isinstance(result, Written) else repr(result)[:200]
             logs.event(
                 "allotment_write",
                 service=allotment.service,
@@ -109,7 +109,7 @@
                 outcome=outcome,
             )
 
-    def _note_reachable(self, reachable: bool, reason: str) -> None:
+    def _set_reachable(self, reachable: bool, reason: str) -> None:
         if reachable != self.reachable:
             logs.event("store_reachable" if reachable else "store_unreachable", reason=reason)
         self.reachable = reachable
@@ -117,7 +117,7 @@
 
 @final
 class HostsThread:
-    """Reads the host list whenever `wanted` says so."""
+    """Reads the host list periodically while `wanted` returns true."""
 
     def __init__(
         self,
@@ -131,11 +131,11 @@
         self._stopped = Event()
 
     def start(self) -> None:
-        """Begin to follow the list."""
+        """Start polling the list."""
         Thread(target=self._run, name="hosts", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop at the next chance."""
+        """Ask the thread to stop, without waiting for it."""
         self._stopped.set()
 
     def _run(self) -> None:
@@ -144,7 +144,7 @@
             self._stopped.wait(max(HOSTS_SECONDS, count / HOSTS_PER_SECOND))
 
     def _fetch(self) -> int:
-        """Read the list and pass it on; return how many hosts it has."""
+        """Read the list and pass it to `on_hosts`; return the number of hosts."""
         found = self._hosts.fetch()
         if isinstance(found, HostsError):
             logs.event("hosts_unreachable", reason=found.reason)
--- a/packages/paddleshunt-node/src/paddleshunt_node/runner.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/runner.py
@@ -1,7 +1,7 @@
-"""The client of the runner beside a target: one HTTP POST for each task, never repeated.
+"""Client of a target's runner: one HTTP POST per task, never retried.
 
-A task's name goes in the header `Paddleshunt-Task` as `submission/index`. Status 200 is success
-and its body the result; any other status is the task's failure and its body the reason.
+A task's name is sent in the header `Paddleshunt-Task` as `submission/index`. With status 200 the
+body is the task's result; with any other status the task failed, and the body is the reason.
 """
 
 import queue
@@ -17,17 +17,17 @@
 
 TASK_HEADER = "Paddleshunt-Task"
 
-CONNECT_SECONDS = 1.0
-"""Seconds to connect to the runner."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+"""Timeout for connecting to the runner."""
 
 _OK = 200
-_MAX_REASON = 500
+_MAX_REASON_BYTES = 500
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The task ended; `ok` is None if the runner was asked and its answer is lost."""
+    """The task ended; `ok` is None if the request was sent and the response lost."""
 
     ok: bool | None
     payload: bytes
@@ -59,7 +59,7 @@
         ]
 
     def start(self) -> None:
-        """Begin to take tasks."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
@@ -83,7 +83,7 @@
             TASK_HEADER: f"{task.submission}/{task.index}",
             "Content-Type": "application/json",
         }
-        timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=max(0.001, task.timeout))
+        timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_SECONDS, read=max(0.001, task.timeout))
         try:
             response = self._pool.request(
                 "POST", self._url, body=task.payload, headers=headers, timeout=timeout
@@ -95,11 +95,11 @@
         except (HTTPError, OSError):
             return Ended(None, b"")
         if response.status != _OK:
-            return Ended(False, response.data[:_MAX_REASON] or b"no reason given")
-        return _result(response.data)
+            return Ended(False, response.data[:_MAX_REASON_BYTES] or b"no reason given")
+        return _check_result(response.data)
 
 
-def _result(body: bytes) -> Ended:
+def _check_result(body: bytes) -> Ended:
     try:
         msgspec.json.decode(body, type=msgspec.Raw)
     except msgspec.DecodeError:
--- a/packages/paddleshunt-node/src/paddleshunt_node/targetprocess.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/targetprocess.py
@@ -1,4 +1,4 @@
-"""The target role as a process: the runner's client and a small web page around `Target`."""
+"""The target process: the runner's client and the operators' pages around the core's `Target`."""
 
 import queue
 import random
@@ -27,15 +27,15 @@
 from paddleshunt_node.web import Request, Response, Route, WebServer, error
 
 WEB_THREADS = 2
-"""Threads of a target's web page, which only operators ask."""
+"""Web threads of a target, which serves only operators."""
 
-EXIT_POLL = 0.05
-"""Seconds between two looks whether a leaving target may exit."""
+EXIT_POLL_SECONDS = 0.05
+"""Interval at which a leaving target checks whether it may exit."""
 
 
 @final
 class TargetProcess:
-    """One target: start it, then let it leave when told to."""
+    """One target, from `start` to `leave`."""
 
     def __init__(self, settings: TargetFile) -> None:
         rng = random.Random()
@@ -43,9 +43,9 @@
         me = new_incarnation(settings.host, rng)
         self._target = Target(_core_settings(settings, me), rng)
         self._node = Node(me, settings.listen.peers, self._target, self._perform_local)
-        self._runner = Runner(settings.runner.url, settings.runner.slots, self._ended)
+        self._runner = Runner(settings.runner.url, settings.runner.slots, self._task_ended)
         self._hosts = HostsThread(
-            HostList(settings.platform.hosts), self._on_hosts, self._wants_hosts
+            HostList(settings.platform.hosts), self._on_hosts, self._needs_hosts
         )
         self._pages = OperatorPages(self._node, lambda now: self._target.describe())
         self._web = WebServer(settings.listen.http, self._routes(), WEB_THREADS)
@@ -54,12 +54,12 @@
         metrics.gauge("paddleshunt_running", "Tasks that run here.", self._count_running)
         metrics.gauge("paddleshunt_queued", "Tasks that wait here.", self._count_queued)
         metrics.gauge("paddleshunt_jobs", "Submissions this is home of.", self._count_jobs)
-        for each in fields(Waste):
-            name, doc = f"paddleshunt_waste_{each.name}", f"For nothing: {each.name}."
-            metrics.gauge(name, doc, partial(self._count_waste, each.name))
+        for waste_field in fields(Waste):
+            name, doc = f"paddleshunt_waste_{waste_field.name}", f"For nothing: {waste_field.name}."
+            metrics.gauge(name, doc, partial(self._count_waste, waste_field.name))
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._node.start()
         self._runner.start()
         self._hosts.start()
@@ -75,11 +75,11 @@
         )
 
     def leave(self, patience: float) -> None:
-        """Refuse new work, finish what runs for up to `patience` seconds, and end."""
+        """Refuse new work, wait up to `patience` seconds for running tasks, and end."""
         self._node.post(self._target.leave)
         waited = 0.0
-        while waited < patience and not self._may_exit.wait(EXIT_POLL):
-            waited += EXIT_POLL
+        while waited < patience and not self._may_exit.wait(EXIT_POLL_SECONDS):
+            waited += EXIT_POLL_SECONDS
             self._node.post(self._check_exit)
         self._node.post(self._target.farewell)
         self._web.stop()
@@ -98,19 +98,19 @@
             self._may_exit.set()
         return []
 
-    # On the loop's thread.
+    # Run on the loop's thread.
 
     def _perform_local(self, effect: LocalEffect) -> None:
         if isinstance(effect, Start):
             logs.event("task_started", submission=effect.submission, index=effect.index)
             self._runner.run(effect)
 
-    # On the runner's threads.
+    # Run on the runner's threads.
 
-    def _ended(self, task: Start, outcome: RunnerOutcome) -> None:
-        self._node.post(lambda now: self._take_end(now, task, outcome))
+    def _task_ended(self, task: Start, outcome: RunnerOutcome) -> None:
+        self._node.post(lambda now: self._record_end(now, task, outcome))
 
-    def _take_end(self, now: float, task: Start, outcome: RunnerOutcome) -> list[Effect]:
+    def _record_end(self, now: float, task: Start, outcome: RunnerOutcome) -> list[Effect]:
         name, index = task.submission, task.index
         if isinstance(outcome, Ended):
             logs.event("task_ended", submission=name, index=index, ok=str(outcome.ok))
@@ -118,17 +118,17 @@
         logs.event("runner_not_reached", submission=name, index=index, reason=outcome.reason)
         return self._target.gate.not_started(now, name, index)
 
-    # On the hosts thread.
+    # Run on the hosts thread.
 
-    def _wants_hosts(self) -> bool:
-        box: queue.SimpleQueue[bool] = queue.SimpleQueue()
+    def _needs_hosts(self) -> bool:
+        result: queue.SimpleQueue[bool] = queue.SimpleQueue()
 
-        def ask(now: float) -> list[Effect]:
-            box.put(self._target.needs_entries(now))
+        def check(now: float) -> list[Effect]:
+            result.put(self._target.needs_entries(now))
             return []
 
-        self._node.post(ask)
-        return box.get()
+        self._node.post(check)
+        return result.get()
 
     def _on_hosts(self, hosts: list[Host]) -> None:
         entries = [
@@ -137,13 +137,13 @@
             if host.role is Role.ENTRY and host.state is not HostState.GONE
         ]
 
-        def know(now: float) -> list[Effect]:
+        def update(now: float) -> list[Effect]:
             self._target.know_entries(entries)
             return []
 
-        self._node.post(know)
+        self._node.post(update)
 
-    # On web threads.
+    # Run on web threads.
 
     def _health(self, _request: Request) -> Response:
         if self._target.leaving:
--- a/packages/paddleshunt-node/src/paddleshunt_node/web.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/web.py
@@ -1,4 +1,4 @@
-"""HTTP with cheroot: a table of routes, and requests and responses as typed values."""
+"""HTTP server on cheroot, with a routing table and typed requests and responses."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -17,14 +17,14 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request; `rest` is what follows the route's path, `length` the body's declared size."""
+    """One request; `rest` is the path after the route's, `length` the body's declared size."""
 
     method: str
     rest: str
     length: int | None
     read: Callable[[int], bytes]
     key: str = ""
-    """What the header `Paddleshunt-Key` says."""
+    """Value of the header `Paddleshunt-Key`, or empty."""
 
 
 @final
@@ -42,16 +42,16 @@
 
 
 def error(status: HTTPStatus, problem: str, *, at: str = "") -> Response:
-    """Return a response that tells what is wrong, and in which field."""
+    """Return an error response; `at` names the invalid field."""
     fields = {"error": problem, "field": at} if at else {"error": problem}
     return Response(status, json.dumps(fields).encode())
 
 
 @final
 class WebServer:
-    """Serves routes at an address `host:port` with a bounded number of threads.
+    """Serves routes at an address `host:port` with a fixed number of threads.
 
-    Routes are keyed by method and path; a path that ends with `/` takes all below it.
+    Routes are keyed by method and path; a path that ends with `/` matches one more segment.
     """
 
     def __init__(self, address: str, routes: dict[tuple[str, str], Route], threads: int) -> None:
@@ -68,7 +68,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Finish what is being served, and end."""
+        """Finish the requests in progress, then end."""
         self._server.stop()
         self._thread.join()
 
@@ -86,16 +86,16 @@
     def _respond(self, environ: dict[str, Any]) -> Response:
         method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
         length = environ.get("CONTENT_LENGTH") or None
-        route, rest = self._find(method, path)
+        route, rest = self._find_route(method, path)
         if route is None:
             return error(HTTPStatus.NOT_FOUND, f"nothing at {method} {path}")
         key = environ.get("HTTP_PADDLESHUNT_KEY", "")
         size = int(length) if length is not None else None
         return route(Request(method, rest, size, environ["wsgi.input"].read, key))
 
-    def _find(self, method: str, path: str) -> tuple[Route | None, str]:
+    def _find_route(self, method: str, path: str) -> tuple[Route | None, str]:
         route = self._routes.get((method, path))
         if route is not None:
             return route, ""
-        head, _, rest = path.rpartition("/")
-        return self._routes.get((method, f"{head}/")), rest
+        parent, _, rest = path.rpartition("/")
+        return self._routes.get((method, f"{parent}/")), rest
--- a/testing/node/test_faults.py
+++ b/testing/node/test_faults.py
@@ -1,4 +1,4 @@
-"""Real processes killed, frozen and stopped under work: SIGKILL, SIGSTOP and SIGTERM."""
+"""Processes that are killed, frozen or stopped while they run jobs (SIGKILL, SIGSTOP, SIGTERM)."""
 
 import json
 import signal
@@ -14,11 +14,11 @@
 
 TINY = Size("tiny", {"hall": 3}, entries=2, slots=2)
 TASKS = 6
-CALL_SECONDS = 60.0
+CALL_TIMEOUT_SECONDS = 60.0
 
 
 class Callers:
-    """Callers of the fleet, each on a thread of its own."""
+    """Callers of the fleet; each submission has its own thread."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._urls = [fleet.daemons[f"entry-{number}"].url for number in range(TINY.entries)]
@@ -28,11 +28,11 @@
     def mint(self, entry: int = 0) -> str:
         body = json.dumps({"service": SERVICE}).encode()
         url = f"{self._urls[entry]}/v1/submissions"
-        reply = urllib3.request("POST", url, body=body, retries=False, timeout=CALL_SECONDS)
+        reply = urllib3.request("POST", url, body=body, retries=False, timeout=CALL_TIMEOUT_SECONDS)
         return str(reply.json()["id"])
 
     def put(self, submission: str, tasks: list[Any], entry: int = 0) -> None:
-        """Submit on a thread; what comes back is put into `answers`."""
+        """Submit on a thread that appends the answer to `answers`."""
         thread = Thread(target=self._put, args=(submission, tasks, entry))
         thread.start()
         self._threads.append(thread)
@@ -45,7 +45,9 @@
         body = json.dumps({"service": SERVICE, "tasks": tasks, "deadline_ms": 30_000}).encode()
         url = f"{self._urls[entry]}/v1/submissions/{submission}"
         try:
-            reply = urllib3.request("PUT", url, body=body, retries=False, timeout=CALL_SECONDS)
+            reply = urllib3.request(
+                "PUT", url, body=body, retries=False, timeout=CALL_TIMEOUT_SECONDS
+            )
             answer = reply.json()
         except (urllib3.exceptions.HTTPError, OSError):
             answer = {"outcome": "no answer"}
@@ -69,8 +71,8 @@
         fleet.stop()
 
 
-def start_held_job(callers: Callers, runner: RunnerStandIn, tasks: int = TASKS) -> str:
-    """Submit a job whose tasks wait in the runner, and return once all of them are there."""
+def start_blocked_job(callers: Callers, runner: RunnerStandIn, tasks: int = TASKS) -> str:
+    """Submit a job whose tasks block in the runner, and return once all have reached it."""
     submission = callers.mint()
     callers.put(submission, [["wait", number] for number in range(tasks)])
     wait_for(lambda: len(runner.seen) >= tasks)
@@ -78,15 +80,15 @@
 
 
 def home_host(fleet: Fleet) -> str:
-    """Return the target that is home of the job under way."""
+    """Return the name of the target that is the home of the running job."""
     jobs = {d.name: get_json(d.url + "/v1/dump")["home"]["jobs"] for d in fleet.of_role("target")}
     return max(jobs, key=lambda name: jobs[name])
 
 
 def restart_killed(fleet: Fleet, name: str) -> None:
-    """Kill a target, start it again, and wait until every entry knows the new incarnation.
+    """Kill a target, restart it, and wait until every entry knows the new incarnation.
 
-    Until then an entry may mint an id for the killed one, and what it answers is `unknown`.
+    Until then an entry may mint an id for the killed one, whose job is answered with `unknown`.
     """
     entries = fleet.of_role("entry")
     killed = {incarnation_of(entry.url, name) for entry in entries}
@@ -102,8 +104,8 @@
     return next((name for name in names if name.startswith(f"{host}~")), "")
 
 
-def check_after(callers: Callers, runner: RunnerStandIn) -> None:
-    """No task was ever started twice, and a new job completes."""
+def check_recovered(callers: Callers, runner: RunnerStandIn) -> None:
+    """Check that no task started twice and that a new job completes."""
     assert set(runner.seen.values()) == {1}, runner.seen
     submission = callers.mint(1)
     callers.put(submission, [1, 2, 3], entry=1)
@@ -113,7 +115,7 @@
 
 def test_killed_target_makes_its_job_unknown(fleet: Fleet, runner: RunnerStandIn) -> None:
     callers = Callers(fleet)
-    submission = start_held_job(callers, runner)
+    submission = start_blocked_job(callers, runner)
     home = home_host(fleet)
     victim = next(d.name for d in fleet.of_role("target") if d.name != home)
     restart_killed(fleet, victim)
@@ -121,12 +123,12 @@
     assert callers.answers[submission][0]["outcome"] == "unknown"
     runner.release()
     fleet.wait_ready()
-    check_after(callers, runner)
+    check_recovered(callers, runner)
 
 
 def test_killed_home_makes_its_job_unknown(fleet: Fleet, runner: RunnerStandIn) -> None:
     callers = Callers(fleet)
-    submission = start_held_job(callers, runner)
+    submission = start_blocked_job(callers, runner)
     home = home_host(fleet)
     restart_killed(fleet, home)
     callers.join()
@@ -136,12 +138,12 @@
     assert callers.answers[submission][1]["outcome"] == "unknown"
     runner.release()
     fleet.wait_ready()
-    check_after(callers, runner)
+    check_recovered(callers, runner)
 
 
 def test_killed_entry_loses_no_answer(fleet: Fleet, runner: RunnerStandIn) -> None:
     callers = Callers(fleet)
-    submission = start_held_job(callers, runner)
+    submission = start_blocked_job(callers, runner)
     fleet.daemons["entry-0"].process.kill()
     fleet.daemons["entry-0"].process.wait()
     callers.join()
@@ -150,12 +152,12 @@
     runner.release()
     callers.join()
     assert callers.answers[submission][1]["results"] == [0, 2, 4, 6, 8, 10]
-    check_after(callers, runner)
+    check_recovered(callers, runner)
 
 
-def test_frozen_target_comes_back_as_itself(fleet: Fleet, runner: RunnerStandIn) -> None:
+def test_frozen_target_resumes_under_its_incarnation(fleet: Fleet, runner: RunnerStandIn) -> None:
     callers = Callers(fleet)
-    submission = start_held_job(callers, runner)
+    submission = start_blocked_job(callers, runner)
     home = home_host(fleet)
     frozen = next(d for d in fleet.of_role("target") if d.name != home)
     entry = fleet.daemons["entry-0"].url
@@ -165,14 +167,12 @@
     frozen.process.send_signal(signal.SIGCONT)
     callers.join()
     assert callers.answers[submission][0]["results"] == [0, 2, 4, 6, 8, 10]
-    check_after(callers, runner)
+    check_recovered(callers, runner)
 
 
-def test_stopped_target_exits_by_itself_with_the_store_away(
-    fleet: Fleet, runner: RunnerStandIn
-) -> None:
+def test_stopped_target_exits_while_the_store_is_down(fleet: Fleet, runner: RunnerStandIn) -> None:
     callers = Callers(fleet)
-    submission = start_held_job(callers, runner)
+    submission = start_blocked_job(callers, runner)
     fleet.store.down = True
     leaving = fleet.daemons[home_host(fleet)]
     leaving.process.send_signal(signal.SIGTERM)
@@ -180,5 +180,5 @@
     runner.release()
     callers.join()
     assert callers.answers[submission][0]["results"] == [0, 2, 4, 6, 8, 10]
-    assert leaving.process.wait(timeout=CALL_SECONDS) == 0
-    check_after(callers, runner)
+    assert leaving.process.wait(timeout=CALL_TIMEOUT_SECONDS) == 0
+    check_recovered(callers, runner)
--- a/testing/node/test_processes.py
+++ b/testing/node/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes' parts: HTTP, filters, sockets, gates and a runner."""
+"""End-to-end tests through HTTP, filters, sockets, gates and a stand-in runner."""
 
 import json
 from contextlib import ExitStack
@@ -15,7 +15,7 @@
     return [n for name, n in system.runner.seen.items() if name.startswith(submission + "/")]
 
 
-def test_job_runs_and_its_answer_is_whole(system: System) -> None:
+def test_job_runs_and_its_answer_is_complete(system: System) -> None:
     submission = system.mint()
     status, answer = system.put(submission, [1, 2, 3])
     assert status == 200
@@ -36,14 +36,14 @@
     assert system.call("GET", f"{system.urls['entry-1']}/v1/submissions/{submission}") == first
 
 
-def test_another_body_under_the_id_conflicts(system: System) -> None:
+def test_different_body_under_the_same_id_conflicts(system: System) -> None:
     submission = system.mint()
     system.put(submission, [1])
     status, answer = system.put(submission, [2])
     assert (status, answer["outcome"]) == (409, "conflict")
 
 
-def test_mint_and_submit_in_one(system: System) -> None:
+def test_mint_and_submit_in_one_request(system: System) -> None:
     body = {"service": SERVICE, "tasks": ["a"]}
     status, answer = system.call("POST", system.urls["entry-0"] + "/v1/jobs", body)
     assert (status, answer["results"]) == (200, ["a"])
@@ -55,7 +55,7 @@
     assert answer["reason"] == "task 1: told to fail"
 
 
-def test_minted_but_never_submitted(system: System) -> None:
+def test_minted_id_without_a_submission_is_not_submitted(system: System) -> None:
     submission = system.mint()
     found = system.call("GET", f"{system.urls['entry-0']}/v1/submissions/{submission}")
     assert found == (404, {"id": submission, "state": "not_submitted"})
@@ -123,7 +123,7 @@
     [({}, 403), ({"Paddleshunt-Key": "guess"}, 403), ({"Paddleshunt-Key": KEY}, 202)],
     ids=["no key", "another key", "the key"],
 )
-def test_only_operators_hand_a_table_over(
+def test_only_operators_may_put_a_table(
     system: System, headers: dict[str, str], status: int
 ) -> None:
     url = system.urls["entry-0"]
@@ -141,7 +141,7 @@
     assert in_force() == revision + (status == 202)
 
 
-def test_planned_stop_of_a_target_cuts_off_nothing() -> None:
+def test_planned_stop_of_a_target_interrupts_no_task() -> None:
     with ExitStack() as stack:
         system = start_system(stack)
         submission = system.mint()
@@ -162,7 +162,7 @@
         assert system.put(system.mint(), [5])[0] == 200
 
 
-def test_planned_stop_of_an_entry_answers_who_waits() -> None:
+def test_planned_stop_of_an_entry_answers_waiting_callers() -> None:
     with ExitStack() as stack:
         system = start_system(stack)
         submission = system.mint()
