--- a/testing/cli/test_explain.py
+++ b/testing/cli/test_explain.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("raw", ["", "Traceback (most recent call last):", "time=now only"])
-def test_other_lines_are_passed_over(raw: str) -> None:
+def test_other_lines_are_ignored(raw: str) -> None:
     assert read_line(raw) is None
 
 
@@ -83,39 +83,39 @@
 REFUSED = ("e2", "event=job_answered job=k outcome=refused reason=no_room")
 
 
-def test_a_refused_key_of_which_an_earlier_try_ran_is_not_called_unrun() -> None:
+def test_refusal_reports_an_earlier_attempt_that_had_begun() -> None:
     cause, deciding = explained(ADMITTED, STARTED, ("e1", "event=caller_left job=k"), REFUSED)
     assert cause == "refused: nothing of its last try has run, but an earlier one had begun"
     assert deciding == ["run_ordered", "job_answered"]
 
 
 @pytest.mark.parametrize("end", ["no_room", "not_started", "stale"])
-def test_runs_that_never_began_are_no_earlier_try(end: str) -> None:
+def test_runs_that_never_began_are_not_an_earlier_attempt(end: str) -> None:
     ended = ("t1", f"event=run_ended job=k.0.0 run=1 end={end} reason={end}")
     assert explained(ADMITTED, ended, REFUSED)[0] == "refused: nothing of it has run"
 
 
-def test_an_entry_that_wrote_on_is_not_called_lost() -> None:
+def test_entry_with_later_lines_is_not_reported_as_lost() -> None:
     left = ("e1", "event=caller_left job=k after_ms=900")
     cause, deciding = explained(ADMITTED, STARTED, SESSION_ENDED, STOPPING, left)
     assert cause == "its caller's connection ended before its answer"
     assert deciding == ["run_stopping", "caller_left"]
 
 
-def test_a_caller_that_left_is_named_by_its_connection() -> None:
+def test_caller_that_left_is_the_cause() -> None:
     cause, _ = explained(ADMITTED, STARTED, ("e1", "event=caller_left job=k after_ms=900"))
     assert cause == "its caller's connection ended before its answer"
 
 
-def test_what_its_own_lines_say_of_a_silent_entry_is_shown() -> None:
-    still = ("e1", "event=stood_still seconds=0.9 jobs=3")
+def test_lines_of_a_silent_entry_are_shown() -> None:
+    pause = ("e1", "event=stood_still seconds=0.9 jobs=3")
     end = ("t1", "event=run_ended job=k.0.0 run=1 end=stopped")
-    cause, deciding = explained(ADMITTED, STARTED, SESSION_ENDED, STOPPING, still, end)
+    cause, deciding = explained(ADMITTED, STARTED, SESSION_ENDED, STOPPING, pause, end)
     assert cause == "its targets heard no more of its entry, and stopped what it had started"
     assert deciding == ["stood_still", "session_ended", "run_stopping"]
 
 
-def test_a_job_that_was_given_up_is_not_called_delayed() -> None:
+def test_given_up_job_is_not_reported_as_delayed() -> None:
     failed = ("t1", "event=run_ended job=k.0.0 run=1 end=failed")
     answered = ("e1", "event=job_answered job=k outcome=givenup reason=deadline")
     cause, deciding = explained(ADMITTED, STARTED, failed, answered)
@@ -160,8 +160,6 @@
         ("other", "failed: these lines don't show why"),
     ],
 )
-def test_a_failed_job_is_said_to_fail_often_only_if_its_answer_says_so(
-    reason: str, cause: str
-) -> None:
+def test_cause_of_a_failed_job_follows_the_reason_in_its_answer(reason: str, cause: str) -> None:
     answered = ("e1", f"event=job_answered job=k outcome=failed reason={reason}")
     assert explained(ADMITTED, STARTED, answered)[0] == cause
--- a/testing/node/test_runner.py
+++ b/testing/node/test_runner.py
@@ -27,7 +27,7 @@
     service.close()
 
 
-def test_runner_that_is_not_there_was_not_reached() -> None:
+def test_missing_runner_is_not_reached() -> None:
     assert isinstance(run_one(f"http://127.0.0.1:{free_port()}/", b"1"), NotReached)
 
 
