--- a/packages/paddleshunt-node/src/paddleshunt_node/reloadsignal.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/reloadsignal.py
@@ -1,25 +1,25 @@
-"""Signals that come while a process starts, before its loop can take them.
+"""SIGHUP received while a process starts, before its event loop handles signals.
 
-SIGHUP says that the settings changed. Until a handler stands it would end the process; here it is
-noted, so that the settings are read once more as soon as they can be.
+SIGHUP requests a reload of the settings. Without a handler it would end the process; here it is
+recorded, so that the settings can be reloaded once the process runs.
 """
 
 import signal
 from types import FrameType
 
-_asked = False
+_requested = False
 
 
 def record_reload_requests() -> None:
-    """Note SIGHUP from now on, until another handler takes its place."""
-    signal.signal(signal.SIGHUP, _note)
+    """Record SIGHUP from now on, until another handler is installed."""
+    signal.signal(signal.SIGHUP, _record)
 
 
 def reload_requested() -> bool:
-    """Whether SIGHUP came since `record_reload_requests`."""
-    return _asked
+    """Return whether SIGHUP was received since `record_reload_requests`."""
+    return _requested
 
 
-def _note(_number: int, _frame: FrameType | None) -> None:
-    global _asked
-    _asked = True
+def _record(_number: int, _frame: FrameType | None) -> None:
+    global _requested
+    _requested = True
--- a/packages/paddleshunt-node/src/paddleshunt_node/tlsimports.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/tlsimports.py
@@ -1,7 +1,7 @@
-"""Keeps modules out of a process that it does not need, as memory on a target's host is short.
+"""Blocks the import of TLS modules in processes that don't use TLS, to save memory.
 
-TLS and OpenSSL's hashes cost about 5 MB a process (docs/design/memory.md) and are imported by
-libraries in case they should be needed. Those libraries do without them if they can't be had.
+Libraries import TLS and OpenSSL's hashes optionally and work without them; loading them costs
+about 5 MB per process (docs/design/memory.md).
 """
 
 import sys
@@ -12,7 +12,7 @@
 
 
 def block_tls_imports(urls: Iterable[str | None]) -> None:
-    """Keep TLS from being imported, unless one of `urls` needs it. Call before the imports."""
+    """Block TLS imports unless a URL is https. Call before importing modules that use TLS."""
     if any(url is not None and url.startswith("https:") for url in urls):
         return
     modules = cast("dict[str, Any]", sys.modules)
