--- a/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
+++ b/packages/paddleshunt-node/src/paddleshunt_node/entryprocess.py
@@ -263,7 +263,7 @@
         self._node.post(lambda now: self._update_hosts(now, hosts))
 
     def _update_hosts(self, now: float, hosts: list[Host]) -> list[Effect]:
-        effects = self._entry.hosts(now, hosts)
+        effects = self._entry.update_hosts(now, hosts)
         if not self._state_requested:
             self._state_requested = True
             effects += self._entry.request_state(now)
