--- a/testing/soak/test_returning.py
+++ b/testing/soak/test_returning.py
@@ -1,8 +1,7 @@
 """The real programs while runners crash, come back under their ids and leave: no other fault.
 
-What the users saw at size (testing/council/test_returning.py tells how it came about), between
-processes: nothing starts on a runner 2 s after its word that it leaves was acknowledged, and what
-was done isn't done again.
+Guards against an id that is taken for an incarnation: nothing may start on a runner 2 s after its
+draining heartbeat was acknowledged, and nothing that was done may be done again.
 """
 
 import asyncio
