--- a/testing/council/soakrunner.py
+++ b/testing/council/soakrunner.py
@@ -42,7 +42,7 @@
 """Milliseconds by which a host's clock may have been set, ahead or back, before a life starts."""
 
 
-@dataclass
+@dataclass(slots=True)
 class Faults:
     """What is wrong with a runner now."""
 
@@ -54,7 +54,7 @@
     late: float = 0.0
     """Carries orders out so many seconds later, and says nothing."""
     fails: bool = False
-    is_stalled: bool = False
+    stands_still: bool = False
     """What runs makes no progress."""
     speed: float = 1.0
     odd_rows: bool = False
@@ -234,7 +234,7 @@
                 self._crash_at(now)
                 return
             end = min(run.lease_end, run.due)
-            still = self.faults.is_stalled and run.task not in self._stopping
+            still = self.faults.stands_still and run.task not in self._stopping
             if still and run.due <= now < run.lease_end:
                 run.due = now + STEP_SECONDS
             elif end <= now:
--- a/testing/council/soakstore.py
+++ b/testing/council/soakstore.py
@@ -18,7 +18,7 @@
 STEP_SECONDS = 0.02
 
 
-@dataclass
+@dataclass(slots=True)
 class StoreFaults:
     """What is wrong with the store now."""
 
--- a/testing/soak/test_soak.py
+++ b/testing/soak/test_soak.py
@@ -7,6 +7,8 @@
 import pytest
 from faults import CRASHING, EVACUATE, LOSES_STOPS, ODD_WORDS, SHRINKS, WEIGHTS, schedule
 from soak import Result, Size, known_seeds, play
+from soakrunner import Faults
+from soakstore import StoreFaults
 from soakwire import KINDS as WIRE_KINDS
 from widefaults import wide_schedule
 
@@ -52,3 +54,10 @@
         for one, other in pairwise(faults)
         if one.kind != other.kind
     )
+
+
+@pytest.mark.parametrize("faults", [Faults(), StoreFaults()], ids=["runner", "store"])
+def test_a_fault_that_no_stand_in_knows_is_refused(faults: Faults | StoreFaults) -> None:
+    """Faults are set by name, so a name that is wrong must not pass for one that does nothing."""
+    with pytest.raises(AttributeError, match="unknown_fault"):
+        setattr(faults, "unknown_fault", True)  # noqa: B010
